--- a/bench/bench_flow.cpp
+++ b/bench/bench_flow.cpp
@@ -251,7 +251,7 @@
         auto row = decode_compact<wire::flow_job_row>(put.value);
         row->cell = "zone-1";
         for (int i = 1; i <= other_rows; ++i) {
-            const job_row_name name = job_row_of(put.key);
+            const job_row_name name = parse_job_row_key(put.key);
             const job_id other(fmt::format("{}{}", i + 3, name.job.str().substr(1)));
             const store_key key = job_row_key(accepted_row(cell_id("zone-1"), other));
             rows_[key] = {key, encode_compact(*row), row_version(++version_), false};
--- a/src/flow_cell_commit.cpp
+++ b/src/flow_cell_commit.cpp
@@ -64,7 +64,7 @@
             continue;
         }
         flow_job& job = *found->second;
-        if (job.bound_here() && job.cancelled() && !job.ended() && !job.running() && all_accounted(now)) {
+        if (job.is_home_cell() && job.cancelled() && !job.ended() && !job.running() && all_accounted(now)) {
             job.note_outcome(flow_state::cancelled);
         }
         if (!job.dirty()) {
@@ -102,7 +102,7 @@
 
 flow_cell::committed_row flow_cell::row_of(const flow_job& job) const
 {
-    committed_row row{job.id(), job.changes(), job.current_row(), job.cells_to_tell()};
+    committed_row row{job.id(), job.changes(), job.current_row(), job.cells_to_notify()};
     if (row.told.size() > cells_told_most) {
         edges_.note(log_level::error, "job", "in_too_many_cells",
                     {{"job", job.id().str()}, {"cells", std::to_string(row.told.size())}});
@@ -120,7 +120,7 @@
     for (const cell_id& cell : row.told) {
         t.puts.push_back({job_row_key({cell, job.id(), id_.str()}), encode_compact(row.news_for(cell))});
     }
-    if (job.bound_here() && job.index_changed()) {
+    if (job.is_home_cell() && job.index_changed()) {
         t.puts.push_back({index_key(job.id()), encode_compact(job.index_row())});
     }
 }
@@ -227,7 +227,7 @@
             }
             const auto decoded = read_flow_row<wire::flow_job_row>(edges_, row);
             if (decoded) {
-                on_job_row(now, job_row_of(row.key), *decoded, row.version);
+                on_job_row(now, parse_job_row_key(row.key), *decoded, row.version);
             }
             if (role_ != role::owning) {
                 return;
@@ -256,7 +256,7 @@
 // That a run is done or has failed is a fact, whoever writes it. The worker that told it to this owner may be gone
 // before the next one asks, and the next one would start the task again; so a row of this entry's own tells it, and the
 // next owner is told of it. Only ends are added to what the table has: nothing that this owner had decided.
-void flow_cell::leave_ends(const job_id& job, const std::vector<listed_end>& ends)
+void flow_cell::leave_ends(const job_id& job, const std::vector<reported_end>& ends)
 {
     read_rows(job, [this, job, ends](instant, const std::vector<store_row>* rows) {
         const auto again = [this, job, ends](instant) { leave_ends(job, ends); };
@@ -269,7 +269,7 @@
             return;
         }
         const std::uint64_t known = left->changes();
-        for (const listed_end& end : ends) {
+        for (const reported_end& end : ends) {
             const flow_stage* const stage = left->find_stage(end.task);
             if (stage != nullptr && !left->step(*stage).lasting) {
                 left->note_end(end);
@@ -279,7 +279,7 @@
             return;
         }
         const wire::flow_job_row told = without_spec(left->current_row());
-        const job_row_name name = left_ends_row(id_, job, self_.incarnation);
+        const job_row_name name = late_ends_row(id_, job, self_.incarnation);
         const store_key key = job_row_key(name);
         const auto before =
             std::find_if(rows->begin(), rows->end(), [&key](const store_row& row) { return row.key == key; });
@@ -301,8 +301,8 @@
 // The worker may not be there for the next owner.
 void flow_cell::leave_listed_ends(const order_answer& answer)
 {
-    std::map<job_id, std::vector<listed_end>> by_job;
-    for (const listed_end& end : answer.ends) {
+    std::map<job_id, std::vector<reported_end>> by_job;
+    for (const reported_end& end : answer.ends) {
         by_job[end.task.job].push_back(end);
     }
     for (const auto& [job, ends] : by_job) {
@@ -321,11 +321,11 @@
         if (!job->dirty()) {
             continue;
         }
-        std::vector<listed_end> ends;
+        std::vector<reported_end> ends;
         for (const flow_stage& stage : job->stages()) {
             for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
                 const flow_task& task = stage.tasks[i];
-                if (task.stage == task_stage::done) {
+                if (task.stage == flow_task_state::done) {
                     ends.push_back({end_number(), job->task_id(stage, i), run_number(), run_end::done, ""});
                 }
                 for (const run_number run : task.failed_runs) {
@@ -345,18 +345,18 @@
     if (job.dirty() || !job.ended()) {
         return;
     }
-    if (job.bound_here()) {
+    if (job.is_home_cell()) {
         hooks_.state_changed(now, job.row(), job.id(), state_of(job.row()));
     }
     if (job.running()) {
         return;
     }
     std::vector<store_key> keys{job_row_key(own_row(id_, job.id()))};
-    if (job.bound_here()) {
-        job.note_teller(accepted_row(id_, job.id()).writer);
-        job.note_teller(cancel_row(id_, job.id()).writer);
+    if (job.is_home_cell()) {
+        job.note_writer(accepted_row(id_, job.id()).writer);
+        job.note_writer(cancel_row(id_, job.id()).writer);
     }
-    for (const std::string& teller : job.tellers()) {
+    for (const std::string& teller : job.known_writers()) {
         keys.push_back(job_row_key({id_, job.id(), teller}));
     }
     remove_rows(now, job.id(), std::move(keys));
--- a/src/flow_cell_crashes.cpp
+++ b/src/flow_cell_crashes.cpp
@@ -71,7 +71,8 @@
     crash.run = lost.run.value();
     // Many are beside a crash, and few of them a second time.
     const bool matters = lost.in_crash.charged || noted.size() + 1 >= crashes_until_sure;
-    const bool kept = job.note_crash(lost.task, crash, matters ? crash_note::written : crash_note::passing);
+    const bool kept =
+        job.note_crash(lost.task, crash, matters ? crash_persistence::written : crash_persistence::deferred);
     if (!kept) {
         return std::nullopt;
     }
@@ -189,7 +190,7 @@
     for (const flow_stage& stage : job.stages()) {
         for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
             const flow_task& task = stage.tasks[i];
-            if (task.stage == task_stage::done || !task.crashes_workers()) {
+            if (task.stage == flow_task_state::done || !task.crashes_workers()) {
                 continue;
             }
             edges_.note(log_level::warning, "task", "given_up",
--- a/src/flow_cell_gangs.cpp
+++ b/src/flow_cell_gangs.cpp
@@ -19,7 +19,7 @@
 {
     std::optional<std::int64_t> floor;
     for (const flow_task& task : stage.tasks) {
-        if (task.stage == task_stage::done) {
+        if (task.stage == flow_task_state::done) {
             continue;
         }
         if (task.home.moves == 0 || floor.value_or(task.home.run_floor) != task.home.run_floor) {
@@ -32,10 +32,10 @@
 
 } // namespace
 
-bool is_spread(const flow_stage& stage)
+bool spans_cells(const flow_stage& stage)
 {
     return std::any_of(stage.tasks.begin(), stage.tasks.end(),
-                       [](const flow_task& t) { return t.stage == task_stage::elsewhere; });
+                       [](const flow_task& t) { return t.stage == flow_task_state::in_other_cell; });
 }
 
 // Under an owner that came after, or when a member here has used the number already, it would be started under another
@@ -44,8 +44,8 @@
 {
     const std::optional<run_number> run = shared_run(stage);
     return run && std::all_of(stage.tasks.begin(), stage.tasks.end(), [&](const flow_task& task) {
-               return task.stage == task_stage::done || task.stage == task_stage::elsewhere ||
-                      (task.stage == task_stage::ready && task.runs.empty() && task.home.epoch == epoch_.value() &&
+               return task.stage == flow_task_state::done || task.stage == flow_task_state::in_other_cell ||
+                      (task.stage == flow_task_state::ready && task.runs.empty() && task.home.epoch == epoch_.value() &&
                        job.next_run(task, epoch_) == *run);
            });
 }
@@ -53,13 +53,13 @@
 // True when the job's row has to be written.
 bool flow_cell::move_gang(instant now, flow_job& job, flow_stage& stage)
 {
-    return is_spread(stage) ? give_back_gang(now, job, stage) : spread_gang(now, job, stage);
+    return spans_cells(stage) ? give_back_gang(now, job, stage) : spread_gang(now, job, stage);
 }
 
 bool flow_cell::spread_gang(instant now, flow_job& job, flow_stage& stage)
 {
     const bool waits = std::all_of(stage.tasks.begin(), stage.tasks.end(), [&](const flow_task& task) {
-        return task.stage == task_stage::ready && task.runs.empty() && now - task.ready_since >= give_away_after;
+        return task.stage == flow_task_state::ready && task.runs.empty() && now - task.ready_since >= give_away_after;
     });
     if (!waits) {
         return false;
@@ -154,11 +154,11 @@
 {
     const std::optional<run_number> run = shared_run(stage);
     const bool joins = may_join(job, stage);
-    const bool job_here = job.bound_here();
+    const bool job_here = job.is_home_cell();
     bool changed = false;
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
         const flow_task& task = stage.tasks[i];
-        if (task.stage != task_stage::ready || !task.runs.empty() ||
+        if (task.stage != flow_task_state::ready || !task.runs.empty() ||
             (joins && now - task.ready_since < gang_join_most)) {
             continue;
         }
@@ -183,7 +183,7 @@
 {
     for (flow_stage& stage : job.stages()) {
         const bool complete = std::all_of(stage.tasks.begin(), stage.tasks.end(), [](const flow_task& t) {
-            return t.stage == task_stage::placed || t.stage == task_stage::done;
+            return t.stage == flow_task_state::placed || t.stage == flow_task_state::done;
         });
         if (!job.step(stage).gang || complete || shared_run(stage)) {
             continue;
--- a/src/flow_cell_log.cpp
+++ b/src/flow_cell_log.cpp
@@ -30,7 +30,7 @@
     if (!listed_since_taken_ && now - taken_at_ < list_wait_most) {
         return {task_wait_reason::workers_not_listed, worker_id()};
     }
-    if (!job.is_received(task)) {
+    if (!job.is_transfer_persisted(task)) {
         return {task_wait_reason::not_received, worker_id()};
     }
     if (!may_start(job, stage, task)) {
@@ -64,7 +64,7 @@
         for (const flow_stage& stage : job.stages()) {
             for (std::size_t i = 0; stage.ready > 0 && i < stage.tasks.size(); ++i) {
                 const flow_task& task = stage.tasks[i];
-                if (task.stage == task_stage::ready && now - task.ready_since >= wait_logged_after) {
+                if (task.stage == flow_task_state::ready && now - task.ready_since >= wait_logged_after) {
                     waiting.push_back({job.step(stage).lasting, task.ready_since, &job, &stage, i});
                 }
             }
@@ -137,7 +137,7 @@
             const flow_step& step = job->step(stage);
             for (std::size_t i = 0; step.lasting && i < stage.tasks.size(); ++i) {
                 const flow_task& task = stage.tasks[i];
-                if (task.stage == task_stage::ready && now - task.ready_since > oldest_lasting) {
+                if (task.stage == flow_task_state::ready && now - task.ready_since > oldest_lasting) {
                     oldest_lasting = now - task.ready_since;
                     oldest = id.str() + "." + std::to_string(stage.step) + "." + std::to_string(i);
                 }
--- a/src/flow_cell_moves.cpp
+++ b/src/flow_cell_moves.cpp
@@ -31,7 +31,7 @@
                  {"index", std::to_string(task.index)},
                  {"from", id_.str()},
                  {"to", to.first.str()}});
-    job.give_away(task, to.first, to.second, epoch_);
+    job.hand_off_task(task, to.first, to.second, epoch_);
     ++stats_.given_away;
     index_ready(job);
     job_changed(now, job, job.step(*job.find_stage(task)).lasting); // others may share the write
@@ -80,7 +80,7 @@
     int given = 0;
     for (std::size_t i = 0; i < stage.tasks.size() && given < most; ++i) {
         const flow_task& task = stage.tasks[i];
-        if (task.stage != task_stage::ready || !task.runs.empty() || !may_start(job, stage, task) ||
+        if (task.stage != flow_task_state::ready || !task.runs.empty() || !may_start(job, stage, task) ||
             now - task.ready_since < wait_before_move(step, task) ||
             (task.may_crash_workers() && find_kept(now, job.task_id(stage, i)) != nullptr)) {
             continue;
@@ -107,7 +107,7 @@
     if (!to && step.lasting && !can_make_room(job, stage)) {
         to = hooks_.find_room(now, id_, service, step, room_kind::reservable);
     }
-    return to && job.may_be_in(to->first, cells_per_job_most) ? to : std::nullopt;
+    return to && job.may_extend_to(to->first, cells_per_job_most) ? to : std::nullopt;
 }
 
 // Whether the task fits on the worker if only tasks that last stay there.
--- a/src/flow_cell_notes.cpp
+++ b/src/flow_cell_notes.cpp
@@ -16,13 +16,13 @@
 // earlier owner of this one.
 bool flow_cell::may_start(const flow_job& job, const flow_stage& stage, const flow_task& task) const
 {
-    if (!job.is_received(task)) {
+    if (!job.is_transfer_persisted(task)) {
         return false;
     }
     if (awaited_.count(job.id()) == 0) {
         return true;
     }
-    if (!notes_starts(job.step(stage)) || !row_.starts_noted || !job.row().starts_noted) {
+    if (!persists_starts(job.step(stage)) || !row_.starts_noted || !job.row().starts_noted) {
         return false;
     }
     // A worker that the owner before no longer named ran nothing of this cell any more.
--- a/src/flow_cell_own.cpp
+++ b/src/flow_cell_own.cpp
@@ -59,7 +59,7 @@
     }
     reading_row_ = true;
     row_read_at_ = now;
-    edges_.read(only_row(cell_key(id_)), [this](instant then, const store_page& page) {
+    edges_.read(single_row_range(cell_key(id_)), [this](instant then, const store_page& page) {
         reading_row_ = false;
         if (page.reached) {
             row_read_version_ = page.version;
@@ -458,7 +458,7 @@
     watched_ = std::min(watched_, page.version);
     for (const store_row& row : page.rows) {
         if (!is_fence(row.key)) {
-            read_rows_[part][job_row_of(row.key).job].push_back(row);
+            read_rows_[part][parse_job_row_key(row.key).job].push_back(row);
         }
     }
     if (page.more && !page.rows.empty()) {
@@ -492,7 +492,7 @@
     }
     for (const auto& [job, of_job] : rows.mapped()) {
         const bool goes_on = std::any_of(of_job.begin(), of_job.end(), [this](const store_row& row) {
-            const job_row_name name = job_row_of(row.key);
+            const job_row_name name = parse_job_row_key(row.key);
             return name.is_own() || name == accepted_row(id_, name.job);
         });
         if (goes_on || jobs_.count(job) != 0) {
@@ -769,7 +769,7 @@
     }
     dated_count counted{{{}, watched_}, watched_at_, {}};
     for (const auto& [id, job] : jobs_) {
-        if (job->bound_here() && !job->begun() && !job->cancelled() && !job->ended()) {
+        if (job->is_home_cell() && !job->begun() && !job->cancelled() && !job->ended()) {
             ++(job->accepted_at() <= watched_ ? counted.count.jobs : counted.newer)[job->row().queue];
         }
     }
--- a/src/flow_cell_p.h
+++ b/src/flow_cell_p.h
@@ -13,6 +13,7 @@
 
 #include "flow_demand_p.h"
 #include "flow_edges_p.h"
+#include "flow_interference_p.h"
 #include "flow_job_p.h"
 #include "flow_limits_p.h"
 #include "flow_load_p.h"
@@ -20,7 +21,6 @@
 #include "flow_order_p.h"
 #include "flow_pending_p.h"
 #include "flow_place_p.h"
-#include "flow_press_p.h"
 #include "place_crash_p.h"
 
 namespace skylarkhub {
@@ -155,7 +155,8 @@
         job_id job;
         int image = 0;
         std::int32_t tasks = 0;
-        double bears = 0;       // pressure of filling work that leaves their tails below target, at their load now
+        double tolerated_pressure =
+            0;                  // pressure of filling work that leaves their tails below target, at their load now
         double bears_usual = 0; // the same over the next seconds: for work that stays
     };
     // What a worker told before the rows of the cell's jobs had been read.
@@ -185,13 +186,13 @@
         end_number seen;
         end_number confirmed;
         std::vector<unconfirmed_end> unconfirmed;
-        std::vector<listed_end> unknown; // of jobs that are not known; their rows are being read
+        std::vector<reported_end> unknown; // of jobs that are not known; their rows are being read
         absl::btree_map<flow_task_id, ledger_run> ledger;
         std::int32_t strangers = 0; // runs it lists that the ledger does not have
         resources held;
         std::int64_t filling_cpu = 0;
         std::int32_t serving = 0;
-        std::int32_t fillers = 0;
+        std::int32_t filling_task_count = 0;
         instant no_starts_until{};
         double distrust = 0;
         instant distrust_at{};
@@ -293,21 +294,21 @@
     void on_held(instant now, const worker_id& id, instant sent, duration wait, const order_answer& answer);
     void take_early_inventories(instant now);
     void take_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer);
-    void take_end(instant now, cell_worker& w, const listed_end& end);
-    void leave_ends(const job_id& job, const std::vector<listed_end>& ends);
+    void take_end(instant now, cell_worker& w, const reported_end& end);
+    void leave_ends(const job_id& job, const std::vector<reported_end>& ends);
     void leave_listed_ends(const order_answer& answer);
     void leave_unwritten_ends();
     void read_unknown_job(const job_id& job);
     void ask_unknown_job(const job_id& job);
     void take_unknown_ends(instant now, const job_id& job);
-    void take_running(instant now, cell_worker& w, const listed_run& run);
-    void take_stray(instant now, const cell_worker& w, const listed_run& run);
+    void take_running(instant now, cell_worker& w, const reported_run& run);
+    void take_stray(instant now, const cell_worker& w, const reported_run& run);
     void adopt_strays(instant now, flow_job& job);
     void tell_ended(instant now, const job_id& job, const wire::flow_job_row& index,
                     const std::vector<store_row>& rows);
     void on_unknown_index(const job_id& job, const store_page& page);
     void on_unknown_job(instant now, const job_id& job, const std::vector<store_row>& rows);
-    void adopt(instant now, cell_worker& w, flow_job& job, const listed_run& run);
+    void adopt(instant now, cell_worker& w, flow_job& job, const reported_run& run);
     void find_missing(instant now, cell_worker& w, instant sent, const order_answer& answer);
     void confirm_ends(cell_worker& w);
     enum class life_end : std::uint8_t { crashed, lapsed };
@@ -396,7 +397,7 @@
     void ledger_add(cell_worker& w, const flow_step& step, const flow_task_id& task, run_number run);
     void count_run(cell_worker& w, const job_id& job, const ledger_run& run, int change);
     void ledger_remove(cell_worker& w, const flow_task_id& task, run_number run);
-    void hasten(instant now, cell_worker& w, flow_job& job, ledger_run& run, const listed_run& seen);
+    void hasten(instant now, cell_worker& w, flow_job& job, ledger_run& run, const reported_run& seen);
     void start_on(instant now, flow_job& job, flow_stage& stage, std::size_t index, cell_worker& w, run_number run);
     void confirm_start(instant now, flow_job& job, live_run& live);
     void take_back_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
@@ -428,7 +429,7 @@
                         const rack_id& near = rack_id(), duration patience = flow_limits::fill_patience);
     duration patience_of(instant now, const flow_job& job, const flow_task& task) const;
     static bool takes_starts(instant now, const cell_worker& w);
-    place_option option_of(instant now, const cell_worker& w) const;
+    placement_candidate option_of(instant now, const cell_worker& w) const;
     void index_ready(flow_job& job);
     void drop_ready(const job_id& job);
     void index_ready_again();
@@ -488,7 +489,7 @@
     void count_serving(cell_worker& w, const job_id& job, const ledger_run& run, int change);
     void set_bearing(serving_group& group, instant now) const;
     double pressure_on(const cell_worker& w, const serving_group& group) const;
-    place_interference filling_on(const cell_worker& w, int filling, double share) const;
+    expected_interference filling_on(const cell_worker& w, int filling, double share) const;
     std::string serving_image(const cell_worker& w) const;
     void count_fill_room(const cell_worker& w, wire::flow_pool_row& pool) const;
     double excess_for(const cell_worker& w, int serving) const;
@@ -571,8 +572,8 @@
     bool alone_waits_ = false; // a task waits for a worker to itself
     std::map<std::string, part_state> parts_;
     interference_model interference_;
-    load_forecast loads_;                       // of jobs that serve
-    std::map<std::string, work_demand> demand_; // by service, of the jobs bound here
+    load_forecast loads_;                        // of jobs that serve
+    std::map<std::string, batch_demand> demand_; // by service, of the jobs bound here
     instant refitted_{};
     bool place_planned_ = false;
     std::uint64_t placing_pass_ = 0;
--- a/src/flow_cell_pace.cpp
+++ b/src/flow_cell_pace.cpp
@@ -75,8 +75,8 @@
     if (!owns()) {
         return; // told again soon, should this entry take the cell over
     }
-    for (const auto& [pair, press] : presses) {
-        interference_.hint(pair, press);
+    for (const auto& [pair, interference_coefficient] : presses) {
+        interference_.seed_coefficient(pair, interference_coefficient);
     }
 }
 
@@ -123,10 +123,10 @@
     for (const double ahead : paced_ahead_s) {
         soon = std::max(soon, loads_.at(group.job, time + ahead));
     }
-    group.bears = interference_.bearable(group.image, soon);
+    group.tolerated_pressure = interference_.tolerable_pressure(group.image, soon);
     double sum = 0;
     for (const double ahead : placed_ahead_s) {
-        sum += interference_.bearable(group.image, loads_.at(group.job, time + ahead));
+        sum += interference_.tolerable_pressure(group.image, loads_.at(group.job, time + ahead));
     }
     group.bears_usual = sum / static_cast<double>(placed_ahead_s.size());
 }
@@ -137,23 +137,24 @@
     double pressure = 0;
     for (std::size_t f = 0; f < w.wanted.size(); ++f) {
         const int filling = static_cast<int>(f);
-        pressure += interference_.press(group.image, filling) * w.wanted[f] * pace_at(w.paces, filling) / 100.0;
+        pressure += interference_.interference_coefficient(group.image, filling) * w.wanted[f] *
+                    pace_at(w.paces, filling) / 100.0;
     }
     return pressure;
 }
 
 // What more of one filling image would do there: the part of what its serving tasks bear that it takes up, and by how
 // much pressure would go beyond.
-place_interference flow_cell::filling_on(const cell_worker& w, int filling, double share) const
+expected_interference flow_cell::filling_on(const cell_worker& w, int filling, double share) const
 {
-    place_interference out;
+    expected_interference out;
     for (const serving_group& group : w.serving_groups) {
-        const double own = interference_.press(group.image, filling) * share;
-        const double bears = group.bears_usual * w.margin;
+        const double own = interference_.interference_coefficient(group.image, filling) * share;
+        const double tolerated_pressure = group.bears_usual * w.margin;
         const double pressure = own + interference_.pressure(group.image, w.wanted);
-        out.taken = std::max(out.taken, own / std::max(bears, bears_least));
+        out.taken = std::max(out.taken, own / std::max(tolerated_pressure, bears_least));
         // Work that presses on nobody is welcome even where other work already presses too much.
-        out.excess = std::max(out.excess, std::min(own * 3, pressure - bears));
+        out.excess_pressure = std::max(out.excess_pressure, std::min(own * 3, pressure - tolerated_pressure));
     }
     return out;
 }
@@ -162,13 +163,13 @@
 double flow_cell::excess_for(const cell_worker& w, int serving) const
 {
     const double pressure = interference_.pressure(serving, w.wanted);
-    return std::clamp(pressure - interference_.bearable(serving, loads_.at(job_id(), 0)), 0.0, 0.3);
+    return std::clamp(pressure - interference_.tolerable_pressure(serving, loads_.at(job_id(), 0)), 0.0, 0.3);
 }
 
 void flow_cell::learn(cell_worker& w, const order_answer& answer)
 {
     std::vector<double> used(w.wanted.size(), 0);
-    for (const listed_run& run : answer.running) {
+    for (const reported_run& run : answer.running) {
         const auto at = w.ledger.find(run.task);
         if (at != w.ledger.end() && at->second.filling) {
             entry(used, at->second.image_index) += static_cast<double>(run.measure) / room_of(w.listing);
@@ -179,7 +180,7 @@
     for (std::size_t f = 0; f < w.shares.size(); ++f) {
         w.shares[f] += a * (value_at(used, f) - w.shares[f]);
     }
-    for (const listed_run& run : answer.running) {
+    for (const reported_run& run : answer.running) {
         const auto at = w.ledger.find(run.task);
         if (at == w.ledger.end() || at->second.tail_target <= duration(0) || run.progress_percent < 100 ||
             run.measure <= 0) {
@@ -190,11 +191,11 @@
         w.tail = std::max(w.tail, tail);
         const int image = at->second.image_index;
         interference_.note_tail(image, tail);
-        const double busy = interference_.busy(image, tail);
+        const double utilization = interference_.utilization(image, tail);
         const double time = seconds_of(w.read_at) - look_age_s;
-        loads_.add(run.task.job, time, interference_.load_of(image, busy, w.shares),
-                   interference_.load_weight(image, busy, w.shares));
-        interference_.learn(image, busy, loads_.at(run.task.job, time), w.shares);
+        loads_.add(run.task.job, time, interference_.estimate_load(image, utilization, w.shares),
+                   interference_.load_weight(image, utilization, w.shares));
+        interference_.learn(image, utilization, loads_.at(run.task.job, time), w.shares);
     }
     for (serving_group& group : w.serving_groups) {
         set_bearing(group, w.read_at);
@@ -214,7 +215,7 @@
     if (w.tail < easy_tail) {
         w.margin = std::min(margin_most, w.margin + margin_gain * std::chrono::duration<double>(since).count());
     }
-    if (w.tail >= strained_tail && w.fillers > 0 && now - w.tightened_at >= drain_time) {
+    if (w.tail >= strained_tail && w.filling_task_count > 0 && now - w.tightened_at >= drain_time) {
         w.margin = std::max(margin_least, w.margin * margin_cut);
         w.tightened_at = now;
         edges_.note(log_level::info, "pace", "tightened",
@@ -234,9 +235,9 @@
 
 void flow_cell::set_paces(instant now, cell_worker& w)
 {
-    std::vector<serving_bearing> serving;
+    std::vector<serving_tolerance> serving;
     for (const serving_group& group : w.serving_groups) {
-        serving.push_back({group.image, group.bears * w.margin});
+        serving.push_back({group.image, group.tolerated_pressure * w.margin});
     }
     w.paces = choose_paces(interference_, serving, w.wanted);
     // Whatever the model says: filling work does not go on beside a serving task that stays over its target.
@@ -302,7 +303,7 @@
         const cell_worker* const better = step.checkpointing ? choose(now, *found->second, stage, *t) : nullptr;
         if (better == nullptr ||
             filling_on(*better, run.image_index, static_cast<double>(run.need.cpu_millis) / room_of(better->listing))
-                    .excess > 0) {
+                    .excess_pressure > 0) {
             continue;
         }
         edges_.note(log_level::info, "run", "evicted",
--- a/src/flow_cell_placing.cpp
+++ b/src/flow_cell_placing.cpp
@@ -105,16 +105,16 @@
            w.strangers == 0 && w.reading.has_value() && now >= w.no_starts_until;
 }
 
-place_option flow_cell::option_of(instant now, const cell_worker& w) const
+placement_candidate flow_cell::option_of(instant now, const cell_worker& w) const
 {
-    place_option option;
+    placement_candidate option;
     option.worker = w.listing.worker;
     option.rack = w.listing.rack;
     option.room = w.listing.room;
     option.held = w.held;
     option.filling_cpu = w.filling_cpu;
     option.serving = w.serving;
-    option.fillers = w.fillers;
+    option.filling_task_count = w.filling_task_count;
     option.lasting_cpu = w.lasting_cpu;
     const double age = std::chrono::duration<double>(now - w.distrust_at).count();
     option.distrust = w.distrust * std::exp2(-age / distrust_half_life_s);
@@ -147,25 +147,25 @@
             !has_label(w.listing.labels, step.label) || (w.is_reserved(now) && !step.lasting) || is_kept(now, w)) {
             continue;
         }
-        const place_option option = option_of(now, w);
+        const placement_candidate option = option_of(now, w);
         if (!has_room(option, step)) {
             continue;
         }
-        place_interference interference;
+        expected_interference interference;
         if (step.filling) {
             const double room = static_cast<double>(std::max<std::int64_t>(1, w.listing.room.cpu_millis));
             interference = filling_on(w, image, static_cast<double>(step.need.cpu_millis) / room);
-            const bool crowded =
-                left_for_filling(option) - step.need.cpu_millis < -static_cast<std::int64_t>(fill_overcommit * room);
+            const bool crowded = available_for_filling(option) - step.need.cpu_millis <
+                                 -static_cast<std::int64_t>(fill_overcommit * room);
             // Left waiting for a place where it is borne and gets its processors: elsewhere it would be slowed to
             // nothing, or slow down others that were there first.
-            if ((interference.excess > 0 || crowded) && now - task.ready_since < patience &&
-                !(step.gang && is_spread(stage))) {
+            if ((interference.excess_pressure > 0 || crowded) && now - task.ready_since < patience &&
+                !(step.gang && spans_cells(stage))) {
                 continue;
             }
         }
         else if (serves) {
-            interference.excess = excess_for(w, image);
+            interference.excess_pressure = excess_for(w, image);
         }
         if (step.per_worker_most > 0 && count_beside(w, job, stage) >= step.per_worker_most) {
             continue;
@@ -175,9 +175,9 @@
         if (runs_here) {
             continue;
         }
-        double cost = place_cost(option, step, interference);
+        double cost = placement_cost(option, step, interference);
         cost += near.valid() && near != w.listing.rack ? apart_rack_cost : 0.0;
-        cost += task.failed_on == id ? 2.0 : 0.0; // as much as a run that takes three times as long
+        cost += task.avoided_worker == id ? 2.0 : 0.0; // as much as a run that takes three times as long
         cost += task.crashes.empty() ? 0.0 : 2.0 * static_cast<double>(count_charged(w));
         if (best == nullptr || cost < best_cost) {
             best = &w;
@@ -194,7 +194,7 @@
 {
     return static_cast<std::int32_t>(
         std::count_if(stage.tasks.begin(), stage.tasks.end(), [now](const flow_task& task) {
-            return task.stage == task_stage::ready && now - task.ready_since >= reserve_after;
+            return task.stage == flow_task_state::ready && now - task.ready_since >= reserve_after;
         }));
 }
 
@@ -217,17 +217,17 @@
     std::vector<std::pair<std::size_t, cell_worker*>> chosen;
     run_number gang_run;
     const bool members_left = std::any_of(stage.tasks.begin(), stage.tasks.end(), [](const flow_task& t) {
-        return t.stage != task_stage::ready && !t.runs.empty();
+        return t.stage != flow_task_state::ready && !t.runs.empty();
     });
     if (step.gang && members_left) {
         return false; // of an earlier run, not all of which have ended
     }
-    if (step.gang && is_spread(stage) && (job.dirty() || !may_join(job, stage))) {
+    if (step.gang && spans_cells(stage) && (job.dirty() || !may_join(job, stage))) {
         return false;
     }
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
         flow_task& task = stage.tasks[i];
-        if (task.stage != task_stage::ready || !may_start(job, stage, task)) {
+        if (task.stage != flow_task_state::ready || !may_start(job, stage, task)) {
             continue;
         }
         const rack_id near = step.same_rack && !chosen.empty() ? chosen.front().second->listing.rack : rack_id();
@@ -262,7 +262,7 @@
         }
         const run_number run = step.gang ? gang_run : own_run;
         w->ledger.at(id).run = run;
-        task.stage = task_stage::placed;
+        task.stage = flow_task_state::placed;
         --stage.ready;
         start_on(now, job, stage, i, *w, run);
     }
@@ -293,7 +293,7 @@
                  {"waited_ms", std::to_string((now - task.ready_since).count() / 1000)},
                  {"left_cpu", std::to_string(w.listing.room.cpu_millis - w.held.cpu_millis)}});
     task.runs.back().alone = w.kept_for == id;
-    if (notes_starts(step) || (task.runs.back().alone && !step.gang)) {
+    if (persists_starts(step) || (task.runs.back().alone && !step.gang)) {
         note_then_start(now, job, id, task.runs.back());
         return;
     }
@@ -304,7 +304,7 @@
 // them the step. A run that has fallen behind gets a copy elsewhere if the step allows it; else it is stopped and
 // starts again elsewhere, at its checkpoint if it has one, once its end is certain. Twice at most: a task that is
 // slower everywhere than was estimated must not be started for ever.
-void flow_cell::hasten(instant now, cell_worker& w, flow_job& job, ledger_run& run, const listed_run& seen)
+void flow_cell::hasten(instant now, cell_worker& w, flow_job& job, ledger_run& run, const reported_run& seen)
 {
     constexpr std::int32_t restarts_most = 2;
     constexpr int pace_free = 50; // percent; below, its pace explains why it does not get on
@@ -318,7 +318,7 @@
     run.progress.note(now, seen.progress_percent, paced != w.paced.end() && paced->second < pace_free);
     const bool stalled = run.progress.stalled(now);
     // How fast filling work gets on depends on what others leave unused.
-    const bool slow = !step.filling && run.progress.slower_than_anew(now, step.estimate);
+    const bool slow = !step.filling && run.progress.slower_than_restart(now, step.estimate);
     const bool alone = task.runs.size() == 1 && !task.runs.front().stopping;
     if ((!stalled && !slow) || !alone || task.restarts >= restarts_most || job.cancelled() || job.ended()) {
         return;
@@ -327,7 +327,7 @@
         run.behind = true;
         distrust(now, w, 1);
     }
-    task.failed_on = w.listing.worker;
+    task.avoided_worker = w.listing.worker;
     cell_worker* const better = choose(now, job, stage, task);
     if (better == nullptr || better == &w) {
         return;
--- a/src/flow_cell_runs.cpp
+++ b/src/flow_cell_runs.cpp
@@ -57,7 +57,7 @@
     w.serving += run.tail_target > duration(0) ? change : 0;
     if (run.filling) {
         w.filling_cpu += counted.cpu_millis;
-        w.fillers += change;
+        w.filling_task_count += change;
         counted.cpu_millis = 0;
     }
     w.held = w.held + counted;
@@ -201,7 +201,7 @@
 {
     live.confirmed = true;
     const std::uint64_t before = job.changes();
-    job.note_begun();
+    job.note_job_started();
     if (job.changes() != before) {
         job_changed(now, job, false);
     }
@@ -289,8 +289,8 @@
     for (flow_stage& stage : job.stages()) {
         for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
             flow_task& task = stage.tasks[i];
-            if (task.stage == task_stage::ready) {
-                task.stage = task_stage::closed;
+            if (task.stage == flow_task_state::ready) {
+                task.stage = flow_task_state::blocked;
                 --stage.ready;
             }
             stop_task_runs(now, task, job.task_id(stage, i));
@@ -336,11 +336,11 @@
                        [&](const live_run& live) { return live.worker == w.listing.worker && live.run == run; }),
         t->runs.end());
     const std::uint64_t before = job.changes();
-    job.note_gone(task, run);
+    job.note_run_ended(task, run);
     if (job.changes() != before) {
         job_changed(now, job, false);
     }
-    if (t->runs.empty() && t->stage == task_stage::placed) {
+    if (t->runs.empty() && t->stage == flow_task_state::placed) {
         requeue(now, job, task);
     }
     if (job.cancelled() || job.ended()) {
@@ -353,10 +353,10 @@
     flow_stage* const stage = job.find_stage(task);
     flow_task* const t = job.find_task(task);
     if (job.cancelled() || job.ended()) {
-        t->stage = task_stage::closed;
+        t->stage = flow_task_state::blocked;
         return;
     }
-    t->stage = task_stage::ready;
+    t->stage = flow_task_state::ready;
     t->ready_since = now;
     ++stage->ready;
     if (const auto to = std::exchange(t->moves_to, std::nullopt)) {
@@ -384,7 +384,7 @@
 
 bool flow_cell::out_of_attempts(const flow_job& job, const flow_task& task) const
 {
-    if (task.stage == task_stage::done) {
+    if (task.stage == flow_task_state::done) {
         return false;
     }
     if (task.crashes_workers()) {
@@ -408,7 +408,7 @@
 
 void flow_cell::end_job(instant now, flow_job& job, flow_state outcome)
 {
-    if (job.ended() || !job.bound_here()) {
+    if (job.ended() || !job.is_home_cell()) {
         return;
     }
     edges_.note(log_level::info, "job", "ended",
@@ -439,7 +439,7 @@
     row_version accepted_at;
     for (const store_row& row : rows) {
         auto decoded = read_flow_row<wire::flow_job_row>(edges_, row);
-        const job_row_name name = job_row_of(row.key);
+        const job_row_name name = parse_job_row_key(row.key);
         if (!decoded && name.is_own()) {
             return nullptr; // what is done would be started again
         }
@@ -455,8 +455,8 @@
     }
     for (const auto& [name, row] : told) {
         if (made && !name.is_own()) {
-            made->merge(instant{}, row, name.teller());
-            made->note_teller(name.writer);
+            made->merge(instant{}, row, name.writer_kind());
+            made->note_writer(name.writer);
         }
     }
     if (made) {
@@ -472,7 +472,7 @@
         for (const store_row& row : rows) {
             const auto decoded = read_flow_row<wire::flow_job_row>(edges_, row);
             if (decoded) {
-                on_job_row(now, job_row_of(row.key), *decoded, row.version);
+                on_job_row(now, parse_job_row_key(row.key), *decoded, row.version);
             }
         }
         return;
@@ -496,7 +496,7 @@
             done(now, nullptr);
             return;
         }
-        edges_.read(only_row(job_row_key(own_row(id_, job))),
+        edges_.read(single_row_range(job_row_key(own_row(id_, job))),
                     [done, rows = news.rows](instant then, const store_page& own) mutable {
                         rows.insert(rows.end(), own.rows.begin(), own.rows.end());
                         done(then, own.reached ? &rows : nullptr);
@@ -530,7 +530,7 @@
         return;
     }
     auto made = std::make_unique<flow_job>(name.job, id_, row, row_version(0));
-    made->note_teller(name.writer);
+    made->note_writer(name.writer);
     made->note_accepted(version);
     adopt_job(now, std::move(made));
 }
@@ -551,12 +551,12 @@
     const bool was_ended = known.ended();
     const bool was_dirty = known.dirty();
     const std::int32_t waited = known.count_ready();
-    known.merge(now, row, name.teller());
+    known.merge(now, row, name.writer_kind());
     if (name.is_own()) {
         known.note_version(version);
     }
     else {
-        known.note_teller(name.writer);
+        known.note_writer(name.writer);
     }
     if (known.count_ready() > waited) {
         edges_.note(log_level::info, "task", "arrived",
@@ -617,18 +617,18 @@
 // Of a job whose tasks run in several cells, the one that it is bound to counts it.
 void flow_cell::note_demand(instant now, const flow_job& job)
 {
-    if (!job.bound_here()) {
+    if (!job.is_home_cell()) {
         return;
     }
     const auto accepted = wall_time(std::chrono::milliseconds(job.row().accepted_ms));
     const auto age = std::chrono::duration_cast<duration>(edges_.wall() - accepted);
-    demand_[job.row().service_name].note(now, age, ending_cpu_seconds(job));
+    demand_[job.row().service_name].note(now, age, batch_cpu_seconds(job));
 }
 
 // Also one nothing of which is left here to be done, if there is a row of this cell: it goes with the job's end.
 void flow_cell::adopt_job(instant now, std::unique_ptr<flow_job> made)
 {
-    if (!made->concerns_here() && made->version() == row_version(0)) {
+    if (!made->involves_this_cell() && made->version() == row_version(0)) {
         return;
     }
     const job_id id = made->id();
@@ -694,7 +694,7 @@
 // What a worker adds to the room for each filling image, and to what its pool serves.
 void flow_cell::count_fill_room(const cell_worker& w, wire::flow_pool_row& pool) const
 {
-    const std::int64_t left = std::max<std::int64_t>(0, left_for_filling(option_of(w.read_at, w)));
+    const std::int64_t left = std::max<std::int64_t>(0, available_for_filling(option_of(w.read_at, w)));
     const double room = static_cast<double>(std::max<std::int64_t>(1, w.listing.room.cpu_millis));
     std::vector<double> spare;
     spare.reserve(w.serving_groups.size());
@@ -704,7 +704,8 @@
     for (int f = 0; f < interference_.filling_count(); ++f) {
         double borne = static_cast<double>(left) / room;
         for (std::size_t g = 0; g < spare.size(); ++g) {
-            borne = std::min(borne, spare[g] / std::max(0.01, interference_.press(w.serving_groups[g].image, f)));
+            borne = std::min(
+                borne, spare[g] / std::max(0.01, interference_.interference_coefficient(w.serving_groups[g].image, f)));
         }
         pool.fill_cpu_millis[interference_.filling_name(f)] += static_cast<std::int32_t>(borne * room);
     }
@@ -745,7 +746,7 @@
         const std::int64_t free = w.listing.room.cpu_millis - w.held.cpu_millis;
         pool.total_cpu_millis += w.listing.room.cpu_millis;
         pool.free_cpu_millis += free;
-        pool.unused_cpu_millis += left_for_filling(option_of(w.read_at, w));
+        pool.unused_cpu_millis += available_for_filling(option_of(w.read_at, w));
         wire::flow_worker_room each;
         each.free_cpu_millis = static_cast<std::int32_t>(free);
         each.serving = serving_image(w);
@@ -787,7 +788,7 @@
     news.presses = interference_.learned();
     for (auto& [service, pool] : pools) {
         const auto demand = demand_.find(service);
-        pool.demand_cpu_millis = (demand == demand_.end() ? work_demand() : demand->second)
+        pool.demand_cpu_millis = (demand == demand_.end() ? batch_demand() : demand->second)
                                      .cpu_millis(now, taken_at_, pool.total_cpu_millis);
         std::sort(pool.each.begin(), pool.each.end(),
                   [](const auto& a, const auto& b) { return a.free_cpu_millis > b.free_cpu_millis; });
--- a/src/flow_cell_workers.cpp
+++ b/src/flow_cell_workers.cpp
@@ -388,20 +388,20 @@
     const bool first = !w.fenced;
     note_asked(w, now);
     w.fenced = true;
-    for (const listed_end& end : answer.ends) {
+    for (const reported_end& end : answer.ends) {
         if (end.number > w.seen) {
             w.seen = end.number;
             take_end(now, w, end);
         }
     }
-    for (const listed_run& run : answer.running) {
+    for (const reported_run& run : answer.running) {
         take_running(now, w, run);
     }
     // What a run takes that the ledger does not know is not known either: a start beside it could go over the room. Its
     // job's row is being read, or it is being stopped.
     w.strangers =
         static_cast<std::int32_t>(std::count_if(answer.running.begin(), answer.running.end(),
-                                                [&w](const listed_run& r) { return w.ledger.count(r.task) == 0; }));
+                                                [&w](const reported_run& r) { return w.ledger.count(r.task) == 0; }));
     if (!first) {
         find_missing(now, w, sent, answer);
     }
@@ -413,7 +413,7 @@
     }
 }
 
-void flow_cell::take_end(instant now, cell_worker& w, const listed_end& end)
+void flow_cell::take_end(instant now, cell_worker& w, const reported_end& end)
 {
     const auto found = jobs_.find(end.task.job);
     if (found == jobs_.end()) {
@@ -437,7 +437,7 @@
     const flow_step& step = job.step(*job.find_stage(end.task));
     job.note_checkpoint(end.task, end.checkpoint);
     const std::uint64_t before = job.changes();
-    job.note_begun();
+    job.note_job_started();
     if (!step.lasting) {
         job.note_end(end);
     }
@@ -450,7 +450,7 @@
         break;
     case run_end::failed:
         ++stats_.failed;
-        task->failed_on = w.listing.worker;
+        task->avoided_worker = w.listing.worker;
         distrust(now, w, 1);
         break;
     case run_end::stopped:
@@ -547,11 +547,11 @@
     row_version newest;
     for (const store_row& row : rows) {
         const auto told = read_flow_row<wire::flow_job_row>(edges_, row);
-        const job_row_name name = job_row_of(row.key);
+        const job_row_name name = parse_job_row_key(row.key);
         newest = std::max(newest, row.version);
-        if (told && name.teller() == row_teller::other_cell) {
+        if (told && name.writer_kind() == row_writer_kind::other_cell) {
             cells.insert(name.writer);
-            each_home(*told, [&cells](const wire::flow_home_row& home) { cells.insert(home.cell); });
+            for_each_task_home(*told, [&cells](const wire::flow_home_row& home) { cells.insert(home.cell); });
         }
     }
     cells.erase(id_.str());
@@ -608,14 +608,14 @@
 void flow_cell::take_unknown_ends(instant now, const job_id& job)
 {
     for (auto& [id, w] : workers_) {
-        std::vector<listed_end> ends;
-        std::erase_if(w.unknown, [&](const listed_end& end) {
+        std::vector<reported_end> ends;
+        std::erase_if(w.unknown, [&](const reported_end& end) {
             if (end.task.job == job) {
                 ends.push_back(end);
             }
             return end.task.job == job;
         });
-        for (const listed_end& end : ends) {
+        for (const reported_end& end : ends) {
             if (jobs_.count(job) != 0) {
                 take_end(now, w, end);
             }
@@ -626,7 +626,7 @@
     }
 }
 
-void flow_cell::take_running(instant now, cell_worker& w, const listed_run& run)
+void flow_cell::take_running(instant now, cell_worker& w, const reported_run& run)
 {
     const auto held = w.ledger.find(run.task);
     const auto found = jobs_.find(run.task.job);
@@ -666,7 +666,7 @@
 // A run of a job that is not in the rows read so far: its row is new, or the job has ended. Only the row tells which.
 // All that are listed until it is read wait for it: with one stopped for each exchange, the tasks of a cancelled job
 // that a worker started late would go on for seconds.
-void flow_cell::take_stray(instant now, const cell_worker& w, const listed_run& run)
+void flow_cell::take_stray(instant now, const cell_worker& w, const reported_run& run)
 {
     if (put_away_.count(run.task.job) != 0) {
         send_stop(now, w.listing.worker, run.task, run.run, 0);
@@ -677,7 +677,7 @@
 }
 
 // A run that an earlier owner started, or one of ours whose order was carried out late.
-void flow_cell::adopt(instant now, cell_worker& w, flow_job& job, const listed_run& run)
+void flow_cell::adopt(instant now, cell_worker& w, flow_job& job, const reported_run& run)
 {
     flow_stage* const stage = job.find_stage(run.task);
     flow_task* const task = job.find_task(run.task);
@@ -687,19 +687,19 @@
     }
     const flow_step& step = job.step(*stage);
     ledger_add(w, step, run.task, run.run);
-    const bool wanted = task->stage != task_stage::done && (task->runs.empty() || step.speculative);
+    const bool wanted = task->stage != flow_task_state::done && (task->runs.empty() || step.speculative);
     task->runs.push_back({w.listing.worker, run.run, now, true, !wanted});
     task->last_run = std::max(task->last_run, run.run);
     if (!wanted) {
         send_stop(now, w.listing.worker, run.task, run.run, 0);
         return;
     }
-    if (task->stage == task_stage::ready) {
+    if (task->stage == flow_task_state::ready) {
         --stage->ready;
     }
-    task->stage = task_stage::placed;
-    job.note_begun();
-    if (notes_starts(step)) {
+    task->stage = flow_task_state::placed;
+    job.note_job_started();
+    if (persists_starts(step)) {
         job.note_start(run.task, w.listing.worker, run.run);
     }
     job_changed(now, job, false);
@@ -726,7 +726,7 @@
                    live.sent + missing_after < sent;
         });
         const bool listed = std::any_of(answer.running.begin(), answer.running.end(),
-                                        [&task = task](const listed_run& r) { return r.task == task; });
+                                        [&task = task](const reported_run& r) { return r.task == task; });
         if (settled && !listed) {
             missing.emplace_back(task, number);
         }
@@ -752,7 +752,7 @@
             left.push_back(end);
         }
     }
-    for (const listed_end& end : w.unknown) {
+    for (const reported_end& end : w.unknown) {
         confirmed = std::min(confirmed, end_number(end.number.value() - 1));
     }
     w.unconfirmed = std::move(left);
--- a/src/flow_cells.cpp
+++ b/src/flow_cells.cpp
@@ -272,7 +272,7 @@
 {
     std::int64_t newer = 0;
     for (const store_row& row : rows) {
-        const job_row_name name = job_row_of(row.key);
+        const job_row_name name = parse_job_row_key(row.key);
         const auto cell = cells_.find(name.cell);
         if (row.removed || row.version <= after || cell == cells_.end() || !cell->second->jobs_known()) {
             continue;
--- a/src/flow_demand.cpp
+++ b/src/flow_demand.cpp
@@ -23,20 +23,20 @@
 
 } // namespace
 
-void work_demand::note(instant now, duration age, double cpu_seconds)
+void batch_demand::note(instant now, duration age, double cpu_seconds)
 {
     level_ *= kept_after(now - noted_);
     level_ += cpu_seconds / seconds(demand_memory) * kept_after(std::max(age, duration(0)));
     noted_ = now;
 }
 
-std::int64_t work_demand::cpu_millis(instant now, instant begun, std::int64_t room) const
+std::int64_t batch_demand::cpu_millis(instant now, instant begun, std::int64_t room) const
 {
     const double unseen = demand_unseen * static_cast<double>(room) * kept_after(now - begun);
     return static_cast<std::int64_t>(level_ * kept_after(now - noted_) + unseen);
 }
 
-double ending_cpu_seconds(const flow_job& job)
+double batch_cpu_seconds(const flow_job& job)
 {
     double sum = 0;
     for (const flow_step& step : job.spec().steps) {
@@ -47,7 +47,7 @@
     return sum;
 }
 
-double ending_work_reserve(std::int64_t demand_cpu_millis, std::int64_t total_cpu_millis)
+double batch_reserve(std::int64_t demand_cpu_millis, std::int64_t total_cpu_millis)
 {
     if (total_cpu_millis <= 0) {
         return ending_reserve_least;
--- a/src/flow_demand_p.h
+++ b/src/flow_demand_p.h
@@ -8,7 +8,7 @@
 // Lasting jobs come first, find the workers empty, and stay for minutes; the jobs that end come after them, at a rate
 // that nobody has told. With a fixed share of the processors left to them, some filling jobs are never done where they
 // ask for more. So what they ask for is measured, and lasting jobs leave as much.
-class work_demand {
+class batch_demand {
 public:
     // A job accepted `age` ago, all of whose tasks together need `cpu_seconds` (thousandths of a processor x seconds).
     void note(instant now, duration age, double cpu_seconds);
@@ -21,10 +21,10 @@
     double level_ = 0; // at noted_
 };
 
-// What all tasks of one occurrence of the job need together, lasting ones left out; as work_demand::note takes it.
-double ending_cpu_seconds(const flow_job& job);
+// What all tasks of one occurrence of the job need together, lasting ones left out; as batch_demand::note takes it.
+double batch_cpu_seconds(const flow_job& job);
 
 // The share of a service's processors that lasting jobs leave to work that ends, by what that work needs.
-double ending_work_reserve(std::int64_t demand_cpu_millis, std::int64_t total_cpu_millis);
+double batch_reserve(std::int64_t demand_cpu_millis, std::int64_t total_cpu_millis);
 
 } // namespace skylarkhub
--- a/src/flow_entry.cpp
+++ b/src/flow_entry.cpp
@@ -42,7 +42,7 @@
         may_own_ = true;
         return;
     }
-    edges_.read({earlier_jobs_table, job_part(part), "", "", 1}, [this, part](instant, const store_page& page) {
+    edges_.read({legacy_jobs_table, job_part(part), "", "", 1}, [this, part](instant, const store_page& page) {
         if (!page.reached) {
             edges_.after(register_retry, [this, part](instant) { look_for_earlier_jobs(part); });
             return;
@@ -52,7 +52,7 @@
             return;
         }
         edges_.note(log_level::error, "entry", "jobs_of_an_earlier_release",
-                    {{"table", earlier_jobs_table},
+                    {{"table", legacy_jobs_table},
                      {"part", job_part(part)},
                      {"advice", "let that release finish its jobs, then remove the table's rows"}});
         edges_.after(earlier_jobs_interval, [this, part](instant) { look_for_earlier_jobs(part); });
--- a/src/flow_entry_pending.cpp
+++ b/src/flow_entry_pending.cpp
@@ -110,7 +110,7 @@
     }
     std::map<cell_id, pending_count>& counts = pending_reading_.counts;
     for (const store_row& row : page.rows) {
-        const job_row_name name = job_row_of(row.key);
+        const job_row_name name = parse_job_row_key(row.key);
         const auto count = counts.find(name.cell);
         if (row.removed || count == counts.end() || row.version <= count->second.up_to ||
             !(name == accepted_row(name.cell, name.job))) {
--- a/src/flow_front.cpp
+++ b/src/flow_front.cpp
@@ -373,7 +373,7 @@
             }
         }
     });
-    const double reserve = ending_work_reserve(demand, total);
+    const double reserve = batch_reserve(demand, total);
     const bool room = total == 0 || (fit >= wants.tasks &&
                                      static_cast<double>(free - wants.cpu) >= reserve * static_cast<double>(total));
     if (!room) {
--- a/src/flow_press.cpp
+++ b/src/flow_interference.cpp
@@ -1,4 +1,4 @@
-#include "flow_press_p.h"
+#include "flow_interference_p.h"
 
 #include <algorithm>
 #include <cmath>
@@ -70,7 +70,7 @@
     f.moments.assign(cell_of(width, 0), 0);
     f.products.assign(width, 0);
     f.start.assign(filling_most, start_press);
-    f.press = f.start;
+    f.interference_coefficient = f.start;
     return f;
 }
 
@@ -85,7 +85,7 @@
     f.least_tail = f.least_tail == 0 ? tail : std::min(f.least_tail, tail);
 }
 
-double interference_model::busy(int serving, double tail) const
+double interference_model::utilization(int serving, double tail) const
 {
     return std::clamp(1 - idle_tail(serving_[static_cast<std::size_t>(serving)]) / tail, 0.0, busy_most);
 }
@@ -94,28 +94,28 @@
 {
     const fit& f = serving_[static_cast<std::size_t>(serving)];
     double sum = 0;
-    for (std::size_t i = 0; i < std::min(shares.size(), f.press.size()); ++i) {
-        sum += f.press[i] * shares[i];
+    for (std::size_t i = 0; i < std::min(shares.size(), f.interference_coefficient.size()); ++i) {
+        sum += f.interference_coefficient[i] * shares[i];
     }
     return sum;
 }
 
-double interference_model::load_of(int serving, double busy, const std::vector<double>& shares) const
+double interference_model::estimate_load(int serving, double utilization, const std::vector<double>& shares) const
 {
-    return std::clamp(busy / (1 + pressure(serving, shares)), load_least, load_most);
+    return std::clamp(utilization / (1 + pressure(serving, shares)), load_least, load_most);
 }
 
 // What the model takes off for filling work may be wrong by as much again; a backlog tells nothing of the load.
-double interference_model::load_weight(int serving, double busy, const std::vector<double>& shares) const
+double interference_model::load_weight(int serving, double utilization, const std::vector<double>& shares) const
 {
-    if (busy >= busy_most) {
+    if (utilization >= busy_most) {
         return 0;
     }
     const double off = 1 + 4 * pressure(serving, shares);
     return 1 / (off * off);
 }
 
-double interference_model::bearable(int serving, double load) const
+double interference_model::tolerable_pressure(int serving, double load) const
 {
     const double busy_wanted = 1 - idle_tail(serving_[static_cast<std::size_t>(serving)]) / tail_wanted;
     return std::clamp(busy_wanted / std::clamp(load, load_least, load_most) - 1, 0.0, bearable_most);
@@ -144,7 +144,7 @@
     return filling_count() - 1;
 }
 
-void interference_model::learn(int serving, double busy, double load, const std::vector<double>& shares)
+void interference_model::learn(int serving, double utilization, double load, const std::vector<double>& shares)
 {
     fit& f = serving_.at(static_cast<std::size_t>(serving));
     const std::size_t n = std::min<std::size_t>(shares.size(), filling_most);
@@ -156,7 +156,7 @@
         for (std::size_t j = 0; j < n; ++j) {
             f.moments[cell_of(static_cast<int>(i), static_cast<int>(j))] += xi * load * shares[j];
         }
-        f.products[i] += xi * (busy - load);
+        f.products[i] += xi * (utilization - load);
     }
     ++f.samples;
 }
@@ -181,7 +181,7 @@
         }
         const std::vector<double> x = solve(std::move(a), std::move(b), n);
         for (std::size_t i = 0; i < size; ++i) {
-            f.press[i] = std::max(0.0, x[i]);
+            f.interference_coefficient[i] = std::max(0.0, x[i]);
         }
         for (double& v : f.moments) {
             v *= memory;
@@ -192,9 +192,9 @@
     }
 }
 
-double interference_model::press(int serving, int filling) const
+double interference_model::interference_coefficient(int serving, int filling) const
 {
-    return serving_[static_cast<std::size_t>(serving)].press[static_cast<std::size_t>(filling)];
+    return serving_[static_cast<std::size_t>(serving)].interference_coefficient[static_cast<std::size_t>(filling)];
 }
 
 std::map<std::string, double> interference_model::learned() const
@@ -204,14 +204,14 @@
         for (int i = 0; f.samples >= samples_to_tell && i < filling_count(); ++i) {
             const auto at = static_cast<std::size_t>(i);
             if (f.moments[cell_of(i, i)] > 4 * ridge) {
-                out[f.name + "|" + filling_names_[at]] = f.press[at];
+                out[f.name + "|" + filling_names_[at]] = f.interference_coefficient[at];
             }
         }
     }
     return out;
 }
 
-void interference_model::hint(const std::string& pair, double press)
+void interference_model::seed_coefficient(const std::string& pair, double interference_coefficient)
 {
     const auto bar = pair.find('|');
     if (bar == std::string::npos) {
@@ -221,19 +221,20 @@
     const int filling = filling_index(pair.substr(bar + 1));
     fit& f = serving_[static_cast<std::size_t>(serving)];
     double& start = f.start[static_cast<std::size_t>(filling)];
-    start += 0.3 * (press - start);
+    start += 0.3 * (interference_coefficient - start);
     if (f.samples == 0) {
-        f.press[static_cast<std::size_t>(filling)] = start;
+        f.interference_coefficient[static_cast<std::size_t>(filling)] = start;
     }
 }
 
-std::vector<int> choose_paces(const interference_model& model, const std::vector<serving_bearing>& serving,
+std::vector<int> choose_paces(const interference_model& model, const std::vector<serving_tolerance>& serving,
                               const std::vector<double>& shares)
 {
     const auto worst_press = [&](int filling) {
         double worst = 0;
-        for (const serving_bearing& s : serving) {
-            worst = std::max(worst, model.press(s.serving, filling) / std::max(s.bears, 0.05));
+        for (const serving_tolerance& s : serving) {
+            worst = std::max(worst,
+                             model.interference_coefficient(s.serving, filling) / std::max(s.tolerated_pressure, 0.05));
         }
         return worst;
     };
@@ -249,8 +250,8 @@
     std::vector<int> paces(shares.size(), 100);
     std::vector<double> left;
     left.reserve(serving.size());
-    for (const serving_bearing& s : serving) {
-        left.push_back(s.bears);
+    for (const serving_tolerance& s : serving) {
+        left.push_back(s.tolerated_pressure);
     }
     constexpr int pace_grain = 10; // percent; finer steps are not worth an order
     for (const int filling : order) {
@@ -260,7 +261,7 @@
         }
         double part = 1;
         for (std::size_t s = 0; s < serving.size(); ++s) {
-            const double pressure = model.press(serving[s].serving, filling) * share;
+            const double pressure = model.interference_coefficient(serving[s].serving, filling) * share;
             if (pressure > 0) {
                 part = std::min(part, std::max(0.0, left[s]) / pressure);
             }
@@ -268,7 +269,7 @@
         const int pace = static_cast<int>(part * 100) / pace_grain * pace_grain;
         paces[static_cast<std::size_t>(filling)] = pace;
         for (std::size_t s = 0; s < serving.size(); ++s) {
-            left[s] -= model.press(serving[s].serving, filling) * share * pace / 100.0;
+            left[s] -= model.interference_coefficient(serving[s].serving, filling) * share * pace / 100.0;
         }
     }
     return paces;
--- a/src/flow_press_p.h
+++ b/src/flow_interference_p.h
@@ -21,20 +21,20 @@
 
     // `tail` is a share of the target.
     void note_tail(int serving, double tail);
-    double busy(int serving, double tail) const;
+    double utilization(int serving, double tail) const;
     // The load that a look tells of, beside filling work of these shares; and how far to believe it, 0 to 1.
-    double load_of(int serving, double busy, const std::vector<double>& shares) const;
-    double load_weight(int serving, double busy, const std::vector<double>& shares) const;
+    double estimate_load(int serving, double utilization, const std::vector<double>& shares) const;
+    double load_weight(int serving, double utilization, const std::vector<double>& shares) const;
     // `load`: of the serving task's job at the time of the look. `shares` by filling index; missing ones are 0.
-    void learn(int serving, double busy, double load, const std::vector<double>& shares);
+    void learn(int serving, double utilization, double load, const std::vector<double>& shares);
     // Makes what was learned count; once a second or so.
     void refit();
 
     // The pressure (sum of press * share) beside which a serving task of this load stays within its target.
-    double bearable(int serving, double load) const;
+    double tolerable_pressure(int serving, double load) const;
     double pressure(int serving, const std::vector<double>& shares) const;
 
-    double press(int serving, int filling) const;
+    double interference_coefficient(int serving, int filling) const;
     int serving_count() const { return static_cast<int>(serving_.size()); }
     const std::string& serving_name(int serving) const { return serving_[static_cast<std::size_t>(serving)].name; }
     const std::string& filling_name(int filling) const { return filling_names_[static_cast<std::size_t>(filling)]; }
@@ -43,7 +43,7 @@
     // For other cells: presses by "SERVING|FILLING", of the pairs that were measured enough.
     std::map<std::string, double> learned() const;
     // What another cell has learned: the starting point for pairs not measured here.
-    void hint(const std::string& pair, double press);
+    void seed_coefficient(const std::string& pair, double interference_coefficient);
 
 private:
     struct fit {
@@ -53,7 +53,7 @@
         std::vector<double> moments;  // of load * shares with themselves, row by row
         std::vector<double> products; // of load * shares with busy - load
         std::vector<double> start;    // what the fit is drawn towards where little was measured
-        std::vector<double> press;
+        std::vector<double> interference_coefficient;
     };
     double idle_tail(const fit& f) const;
     fit make_fit(const std::string& name) const;
@@ -65,11 +65,11 @@
 // The pace of filling work, in percent by filling image, that keeps the pressure on every serving image within what it
 // bears. `shares`: what the tasks of each filling image would use at full pace. The images that press least go first,
 // so that as much work as possible goes on.
-struct serving_bearing {
+struct serving_tolerance {
     int serving = 0;
-    double bears = 0; // of sum press * share
+    double tolerated_pressure = 0; // of sum press * share
 };
-std::vector<int> choose_paces(const interference_model& model, const std::vector<serving_bearing>& serving,
+std::vector<int> choose_paces(const interference_model& model, const std::vector<serving_tolerance>& serving,
                               const std::vector<double>& shares);
 
 } // namespace skylarkhub
--- a/src/flow_job.cpp
+++ b/src/flow_job.cpp
@@ -40,7 +40,7 @@
     return crashes.size() >= crashes_until_sure && crashes_its_workers(crash_rows());
 }
 
-bool notes_starts(const flow_step& step)
+bool persists_starts(const flow_step& step)
 {
     return step.lasting && !step.gang && !step.speculative;
 }
@@ -56,7 +56,7 @@
             add_stage(k, static_cast<std::int32_t>(s));
         }
     }
-    merge(instant{}, row, version != row_version(0) ? row_teller::own : row_teller::other_cell);
+    merge(instant{}, row, version != row_version(0) ? row_writer_kind::own : row_writer_kind::other_cell);
 }
 
 bool flow_job::at_home(const flow_task& task) const
@@ -64,7 +64,7 @@
     return (task.home.cell.empty() ? row_.cell : task.home.cell) == here_.str();
 }
 
-bool flow_job::concerns_here() const
+bool flow_job::involves_this_cell() const
 {
     return row_.cell == here_.str() || std::any_of(stages_.begin(), stages_.end(), [this](const flow_stage& s) {
                return std::any_of(s.tasks.begin(), s.tasks.end(), [this](const flow_task& t) { return at_home(t); });
@@ -85,13 +85,13 @@
     return cells;
 }
 
-bool flow_job::may_be_in(const cell_id& cell, std::size_t cells_most) const
+bool flow_job::may_extend_to(const cell_id& cell, std::size_t cells_most) const
 {
     const std::set<std::string> cells = concerned_cells();
     return cells.size() < cells_most || cells.count(cell.str()) != 0;
 }
 
-std::vector<cell_id> flow_job::cells_to_tell() const
+std::vector<cell_id> flow_job::cells_to_notify() const
 {
     std::set<std::string> cells;
     if (all_told_of_ > written_) {
@@ -112,7 +112,7 @@
     return out;
 }
 
-void flow_job::give_away(const flow_task_id& task, const cell_id& to, epoch to_epoch, epoch own_epoch)
+void flow_job::hand_off_task(const flow_task_id& task, const cell_id& to, epoch to_epoch, epoch own_epoch)
 {
     move(task, to, to_epoch, next_run(*find_task(task), own_epoch).value() - 1);
 }
@@ -132,10 +132,10 @@
         return;
     }
     given_to_[to.str()] = changes_;
-    if (t.stage == task_stage::ready) {
+    if (t.stage == flow_task_state::ready) {
         --find_stage(task)->ready;
     }
-    t.stage = task_stage::elsewhere;
+    t.stage = flow_task_state::in_other_cell;
 }
 
 void flow_job::load_home(instant now, flow_stage& stage, flow_task& task, const wire::flow_home_row& home, bool own)
@@ -147,19 +147,19 @@
     if (at_home(task)) {
         newest_home_epoch_ = std::max(newest_home_epoch_, home.epoch);
     }
-    if (at_home(task) && !own && task.stage != task_stage::done) {
+    if (at_home(task) && !own && task.stage != flow_task_state::done) {
         task.received = received_ = ++changes_;
     }
-    if (!stage.open || task.stage == task_stage::done) {
+    if (!stage.open || task.stage == flow_task_state::done) {
         return;
     }
-    if (at_home(task) && task.stage == task_stage::elsewhere) {
-        task.stage = task_stage::ready;
+    if (at_home(task) && task.stage == flow_task_state::in_other_cell) {
+        task.stage = flow_task_state::ready;
         task.ready_since = now;
         ++stage.ready;
     }
-    else if (!at_home(task) && task.stage == task_stage::ready) {
-        task.stage = task_stage::elsewhere;
+    else if (!at_home(task) && task.stage == flow_task_state::ready) {
+        task.stage = flow_task_state::in_other_cell;
         --stage.ready;
     }
 }
@@ -261,11 +261,11 @@
         stage.open = true;
         opened = true;
         for (flow_task& task : stage.tasks) {
-            if (task.stage == task_stage::closed && !at_home(task)) {
-                task.stage = task_stage::elsewhere;
+            if (task.stage == flow_task_state::blocked && !at_home(task)) {
+                task.stage = flow_task_state::in_other_cell;
             }
-            else if (task.stage == task_stage::closed) {
-                task.stage = task_stage::ready;
+            else if (task.stage == flow_task_state::blocked) {
+                task.stage = flow_task_state::ready;
                 task.ready_since = now;
                 ++stage.ready;
             }
@@ -284,11 +284,11 @@
 }
 
 // The owner of the job's cell knows by itself, or hears it from the worker again; that of another cell has to tell it.
-void flow_job::note_begun()
+void flow_job::note_job_started()
 {
     if (!row_.begun) {
         row_.begun = true;
-        changes_ += bound_here() ? 0 : 1;
+        changes_ += is_home_cell() ? 0 : 1;
     }
     tell_started();
 }
@@ -298,7 +298,7 @@
 // starts is noted the one says the other.
 bool flow_job::tells_begun(const wire::flow_job_row& row) const
 {
-    return row.begun || (row.started && std::none_of(spec_.steps.begin(), spec_.steps.end(), notes_starts));
+    return row.begun || (row.started && std::none_of(spec_.steps.begin(), spec_.steps.end(), persists_starts));
 }
 
 void flow_job::tell_started()
@@ -313,13 +313,13 @@
 {
     flow_stage* const stage = find_stage(task);
     flow_task* const t = find_task(task);
-    if (t == nullptr || t->stage == task_stage::done) {
+    if (t == nullptr || t->stage == flow_task_state::done) {
         return false;
     }
-    if (t->stage == task_stage::ready) {
+    if (t->stage == flow_task_state::ready) {
         --stage->ready;
     }
-    t->stage = task_stage::done;
+    t->stage = flow_task_state::done;
     t->checkpoint.clear();
     ++stage->done;
     ++changes_;
@@ -339,7 +339,7 @@
     return static_cast<std::int32_t>(t->failed_runs.size());
 }
 
-bool flow_job::note_crash(const flow_task_id& task, const wire::crash_row& crash, crash_note note)
+bool flow_job::note_crash(const flow_task_id& task, const wire::crash_row& crash, crash_persistence note)
 {
     flow_task* const t = find_task(task);
     const run_number run(crash.run);
@@ -347,7 +347,7 @@
         return false;
     }
     t->crashes.insert_or_assign(run, crash);
-    changes_ += note == crash_note::written ? 1 : 0;
+    changes_ += note == crash_persistence::written ? 1 : 0;
     return true;
 }
 
@@ -387,7 +387,7 @@
     outlive(task, run_number(outlived == row.outlived.end() ? 0 : outlived->second));
 }
 
-void flow_job::note_end(const listed_end& end)
+void flow_job::note_end(const reported_end& end)
 {
     if (end.how == run_end::failed) {
         note_failure(end.task, end.run);
@@ -406,7 +406,7 @@
 void flow_job::note_checkpoint(const flow_task_id& task, const std::string& checkpoint)
 {
     flow_task* const t = find_task(task);
-    if (t != nullptr && !checkpoint.empty() && t->stage != task_stage::done) {
+    if (t != nullptr && !checkpoint.empty() && t->stage != flow_task_state::done) {
         t->checkpoint = checkpoint;
     }
 }
@@ -422,7 +422,7 @@
     }
 }
 
-void flow_job::note_gone(const flow_task_id& task, run_number run)
+void flow_job::note_run_ended(const flow_task_id& task, run_number run)
 {
     wire::flow_start_row& start = find_task(task)->start;
     if (run.value() == start.run && !start.worker.empty()) {
@@ -433,7 +433,7 @@
 
 epoch flow_job::newest_epoch() const
 {
-    return epoch(std::max(bound_here() ? row_.cell_epoch : 0, newest_home_epoch_));
+    return epoch(std::max(is_home_cell() ? row_.cell_epoch : 0, newest_home_epoch_));
 }
 
 void flow_job::note_outcome(flow_state outcome)
@@ -464,12 +464,12 @@
     });
 }
 
-void flow_job::merge(instant now, const wire::flow_job_row& other, row_teller teller)
+void flow_job::merge(instant now, const wire::flow_job_row& other, row_writer_kind writer_kind)
 {
     // What came from a row need not be written again; our own facts, if any, still must, and what follows from it here.
     const bool was_behind = dirty();
     std::uint64_t follows = 0;
-    const bool news = bound_here() && teller != row_teller::own;
+    const bool news = is_home_cell() && writer_kind != row_writer_kind::own;
     if (other.cancelled && !row_.cancelled) {
         row_.cancelled = true;
         if (news) {
@@ -493,7 +493,7 @@
     const bool over = news && (row_.cancelled || row_.outcome != 0);
     const std::set<std::string> concerned = over ? concerned_cells() : std::set<std::string>();
     for (const wire::flow_stage_row& stage : other.stages) {
-        load_stage(now, stage, teller == row_teller::own);
+        load_stage(now, stage, writer_kind == row_writer_kind::own);
     }
     // A task was given to that cell by one that had not heard of the end.
     const std::set<std::string> now_concerned = over ? concerned_cells() : std::set<std::string>();
@@ -501,7 +501,7 @@
         all_told_of_ = follows = ++changes_;
     }
     // The owner of another cell has told the job's, an entry that was followed has not.
-    const bool pass_on = teller == row_teller::entry && changes_ != before;
+    const bool pass_on = writer_kind == row_writer_kind::entry && changes_ != before;
     if (!was_behind && follows == 0 && received == received_ && !pass_on) {
         written_ = changes_;
     }
@@ -544,7 +544,7 @@
         for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
             const flow_task& task = stage.tasks[i];
             const auto index = static_cast<std::int32_t>(i);
-            if (task.stage == task_stage::done) {
+            if (task.stage == flow_task_state::done) {
                 bits[i / 8] = static_cast<char>(static_cast<unsigned char>(bits[i / 8]) | (1U << (i % 8)));
                 any = true;
                 continue;
--- a/src/flow_job_p.h
+++ b/src/flow_job_p.h
@@ -12,7 +12,7 @@
 namespace skylarkhub {
 
 // closed: an earlier step is not done yet, or its time has not come. elsewhere: another cell takes care of it.
-enum class task_stage : std::uint8_t { closed, ready, placed, elsewhere, done };
+enum class flow_task_state : std::uint8_t { blocked, ready, placed, in_other_cell, done };
 
 // A run that may be going on: from the moment its start is sent until its end is known.
 struct live_run {
@@ -28,7 +28,7 @@
 };
 
 struct flow_task {
-    task_stage stage = task_stage::closed;
+    flow_task_state stage = flow_task_state::blocked;
     run_number last_run; // highest used
     // By number, not by count: ends are heard more than once, by several owners, and in any order. At most as many as
     // the task has attempts.
@@ -41,7 +41,7 @@
     std::string checkpoint;
     instant ready_since{};
     std::vector<live_run> runs; // more than one only for speculative steps
-    worker_id failed_on;        // the last worker it failed or fell behind on, avoided where there is another
+    worker_id avoided_worker;   // the last worker it failed or fell behind on, avoided where there is another
     std::int32_t restarts = 0;  // by this owner, since it had fallen behind
     wire::flow_home_row home;   // the cell that takes care of it; no cell: the job's
     std::optional<std::pair<cell_id, epoch>> moves_to; // the cell that it is given to once its run has ended
@@ -61,13 +61,13 @@
 
 // The job's row tells of a start of such a step before it is sent, so that an owner's follower knows where each task
 // may run. Short work does without: it would wait for the table with every task.
-bool notes_starts(const flow_step& step);
+bool persists_starts(const flow_step& step);
 
 // Members of a gang are in another cell: it runs over several.
-bool is_spread(const flow_stage& stage);
+bool spans_cells(const flow_stage& stage);
 
 // Whether a crash is written for its own sake, or goes out with the row's next write.
-enum class crash_note : std::uint8_t { written, passing };
+enum class crash_persistence : std::uint8_t { written, deferred };
 
 class flow_job {
 public:
@@ -100,7 +100,7 @@
     bool begun() const { return row_.begun; }
     bool timed() const { return spec_.occurrences > 0; }
     // The job is bound to `here`: its owner says what has become of it.
-    bool bound_here() const { return row_.cell == here_.str(); }
+    bool is_home_cell() const { return row_.cell == here_.str(); }
     // The version of the row of `here`, 0 while there is none.
     row_version version() const { return version_; }
     void note_version(row_version version) { version_ = std::max(version_, version); }
@@ -109,23 +109,23 @@
     void note_accepted(row_version version) { accepted_at_ = std::max(accepted_at_, version); }
 
     // It is given to `here` and the row of `here` tells so: before, an earlier owner may be told of it as well.
-    bool is_received(const flow_task& task) const { return task.received <= written_; }
+    bool is_transfer_persisted(const flow_task& task) const { return task.received <= written_; }
     bool at_home(const flow_task& task) const;
     // Some task is taken care of by `here`.
-    bool concerns_here() const;
+    bool involves_this_cell() const;
     // Another cell's owner, or somebody else, has told something of it.
-    void note_teller(const std::string& writer) { tellers_.insert(writer); }
+    void note_writer(const std::string& writer) { tellers_.insert(writer); }
     // All that have, cells' owners and others.
-    const std::set<std::string>& tellers() const { return tellers_; }
+    const std::set<std::string>& known_writers() const { return tellers_; }
     // It is in that cell already, or may go to one more.
-    bool may_be_in(const cell_id& cell, std::size_t cells_most) const;
+    bool may_extend_to(const cell_id& cell, std::size_t cells_most) const;
     // The other cells that the next write has news for: the job's, those that tasks were given to, and all concerned
     // when members of a gang move or the job has ended.
-    std::vector<cell_id> cells_to_tell() const;
+    std::vector<cell_id> cells_to_notify() const;
     // Callers will see a difference once the next write is in force.
     bool index_changed() const { return index_changed_ > written_; }
     // Gives a task that no run of which lives to another cell; in force once it is written.
-    void give_away(const flow_task_id& task, const cell_id& to, epoch to_epoch, epoch own_epoch);
+    void hand_off_task(const flow_task_id& task, const cell_id& to, epoch to_epoch, epoch own_epoch);
     // The same with its runs numbered above `floor`; `to` may be the cell that has it.
     void move(const flow_task_id& task, const cell_id& to, epoch to_epoch, std::int64_t floor);
 
@@ -136,30 +136,30 @@
     run_number next_run(const flow_task& task, epoch cell_epoch) const;
 
     // --- facts; each makes the row behind ---
-    void note_begun();
+    void note_job_started();
     // False when it was done already.
     bool note_done(const flow_task_id& task);
     // The number of failed runs so far. A run counts once, however often its end is listed.
     std::int32_t note_failure(const flow_task_id& task, run_number run);
     // A worker crashed under the run. False when the task has outlived it.
-    bool note_crash(const flow_task_id& task, const wire::crash_row& crash, crash_note note);
+    bool note_crash(const flow_task_id& task, const wire::crash_row& crash, crash_persistence note);
     // None did after all.
     void forget_crash(const flow_task_id& task, run_number run);
     // The run has shown that it crashes no worker.
     void note_outlived(const flow_task_id& task, run_number run);
     // What the end of a run of a step that does not last tells of its tasks.
-    void note_end(const listed_end& end);
+    void note_end(const reported_end& end);
     void note_checkpoint(const flow_task_id& task, const std::string& checkpoint);
     // The run is about to be started, or was found. Nothing when a higher one was noted.
     void note_start(const flow_task_id& task, const worker_id& worker, run_number run);
     // The run, if it is the one noted, is certainly not going on any more.
-    void note_gone(const flow_task_id& task, run_number run);
+    void note_run_ended(const flow_task_id& task, run_number run);
     // The newest epoch of `here` that anyone has named to bind the job or give a task to it.
     epoch newest_epoch() const;
     void note_outcome(flow_state outcome);
 
     // Takes over the facts of another row of the job, in whatever order they come; none is ever taken back.
-    void merge(instant now, const wire::flow_job_row& other, row_teller teller);
+    void merge(instant now, const wire::flow_job_row& other, row_writer_kind writer_kind);
 
     bool all_done() const;
     // Tasks that wait for a worker.
--- a/src/flow_place.cpp
+++ b/src/flow_place.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::int64_t left_for_filling(const place_option& option)
+std::int64_t available_for_filling(const placement_candidate& option)
 {
     const double idle = (1.0 - lasting_use) * static_cast<double>(option.lasting_cpu);
     return option.room.cpu_millis - option.held.cpu_millis - option.filling_cpu + static_cast<std::int64_t>(idle);
@@ -32,7 +32,7 @@
     return label.empty() || std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-bool has_room(const place_option& option, const flow_step& step)
+bool has_room(const placement_candidate& option, const flow_step& step)
 {
     resources need = step.need;
     if (step.filling) {
@@ -41,17 +41,18 @@
     return fits(option.held + need, option.room);
 }
 
-double place_cost(const place_option& option, const flow_step& step, const place_interference& interference)
+double placement_cost(const placement_candidate& option, const flow_step& step,
+                      const expected_interference& interference)
 {
     const double total = std::max<double>(1, static_cast<double>(option.room.cpu_millis));
     const double counted =
         static_cast<double>(option.held.cpu_millis + (step.filling ? 0 : step.need.cpu_millis)) / total;
-    const double wanted = 1.0 - static_cast<double>(left_for_filling(option) - step.need.cpu_millis) / total;
+    const double wanted = 1.0 - static_cast<double>(available_for_filling(option) - step.need.cpu_millis) / total;
     double cost = distrust_cost * option.distrust;
     if (step.data_rack.valid() && step.data_rack != option.rack) {
         cost += remote_cost;
     }
-    cost += excess_cost * interference.excess;
+    cost += excess_cost * interference.excess_pressure;
     if (step.filling) {
         cost += taken_cost * interference.taken + wanted + overcommit_cost * std::max(0.0, wanted - 1.0);
         return cost + (option.serving > 0 ? beside_serving : 0);
--- a/src/flow_place_p.h
+++ b/src/flow_place_p.h
@@ -27,14 +27,14 @@
 };
 
 // A worker as placement sees it.
-struct place_option {
+struct placement_candidate {
     worker_id worker;
     rack_id rack;
     resources room;
     resources held;               // of tasks that count against the room, those being stopped included
     std::int64_t filling_cpu = 0; // wanted by filling tasks, not counted against the room
     std::int32_t serving = 0;     // lasting tasks with a tail target
-    std::int32_t fillers = 0;
+    std::int32_t filling_task_count = 0;
     std::int64_t lasting_cpu = 0; // of `held`, committed to lasting tasks
     double distrust = 0;          // 0 healthy; rises with runs that failed or stalled there lately
 };
@@ -44,21 +44,22 @@
 inline constexpr double lasting_use = 0.45;
 
 // Processors that filling work can still have: what committed tasks and other filling work leave unused.
-std::int64_t left_for_filling(const place_option& option);
+std::int64_t available_for_filling(const placement_candidate& option);
 
 // Whether a worker, or some worker of a pool, with these labels may take what asks for `label`; empty: any may.
 bool has_label(const std::vector<std::string>& labels, const std::string& label);
 
 // True when the task may run there at all: room that every committed task leaves.
-bool has_room(const place_option& option, const flow_step& step);
+bool has_room(const placement_candidate& option, const flow_step& step);
 
 // What the interference model expects if the task goes there.
-struct place_interference {
-    double excess = 0; // pressure beyond what serving tasks bear
-    double taken = 0;  // of what serving tasks bear, the part that filling work takes up
+struct expected_interference {
+    double excess_pressure = 0; // pressure beyond what serving tasks bear
+    double taken = 0;           // of what serving tasks bear, the part that filling work takes up
 };
 
 // Lower is better; the unit is a share of the worker's processors.
-double place_cost(const place_option& option, const flow_step& step, const place_interference& interference);
+double placement_cost(const placement_candidate& option, const flow_step& step,
+                      const expected_interference& interference);
 
 } // namespace skylarkhub
--- a/src/flow_relay.cpp
+++ b/src/flow_relay.cpp
@@ -169,7 +169,7 @@
         if (!table_away_) {
             return;
         }
-        direct_.read(only_row(entry_key(self_.entry)), [this](instant then, const store_page& page) {
+        direct_.read(single_row_range(entry_key(self_.entry)), [this](instant then, const store_page& page) {
             note_table(then, page.reached, page.reason);
             if (table_away_) {
                 probe_table();
--- a/src/flow_row.cpp
+++ b/src/flow_row.cpp
@@ -70,9 +70,9 @@
 
 } // namespace
 
-row_teller job_row_name::teller() const
+row_writer_kind job_row_name::writer_kind() const
 {
-    return is_own() ? row_teller::own : is_cell(writer) ? row_teller::other_cell : row_teller::entry;
+    return is_own() ? row_writer_kind::own : is_cell(writer) ? row_writer_kind::other_cell : row_writer_kind::entry;
 }
 
 bool is_cell(const std::string& writer)
@@ -92,7 +92,7 @@
 {
     return {cell, job, cancelled_mark};
 }
-job_row_name left_ends_row(const cell_id& cell, const job_id& job, const incarnation_id& entry)
+job_row_name late_ends_row(const cell_id& cell, const job_id& job, const incarnation_id& entry)
 {
     return {cell, job, ends_mark + entry.str()};
 }
@@ -104,7 +104,7 @@
                          : store_key{news_table, job_part(name.job), key + separator + name.writer};
 }
 
-job_row_name job_row_of(const store_key& key)
+job_row_name parse_job_row_key(const store_key& key)
 {
     const std::size_t cell_end = key.key.find(separator);
     if (cell_end == std::string::npos) {
@@ -173,7 +173,7 @@
     return keys;
 }
 
-store_range only_row(store_key key)
+store_range single_row_range(store_key key)
 {
     std::string end = key.key + '\0';
     return {std::move(key.table), std::move(key.part), std::move(key.key), std::move(end)};
--- a/src/flow_row_p.h
+++ b/src/flow_row_p.h
@@ -10,10 +10,10 @@
 namespace skylarkhub {
 
 // Tables and parts in the platform's store that belong to flows.
-inline constexpr const char* jobs_table = "flow-cell-jobs";    // what the owner of a cell knows of a job
-inline constexpr const char* news_table = "flow-news";         // what others tell the owner of a cell of a job
-inline constexpr const char* index_table = "flow-index";       // what callers ask of a job
-inline constexpr const char* earlier_jobs_table = "flow-jobs"; // of releases that kept one row a job
+inline constexpr const char* jobs_table = "flow-cell-jobs";   // what the owner of a cell knows of a job
+inline constexpr const char* news_table = "flow-news";        // what others tell the owner of a cell of a job
+inline constexpr const char* index_table = "flow-index";      // what callers ask of a job
+inline constexpr const char* legacy_jobs_table = "flow-jobs"; // of releases that kept one row a job
 inline constexpr const char* cells_table = "flow-cells";
 inline constexpr const char* entries_table = "flow-entries";
 inline constexpr const char* layouts_table = "flow-layouts";
@@ -34,7 +34,7 @@
 std::vector<store_key> keys_of(const std::vector<store_row>& rows);
 
 // Calls `use` with each place that a task of the row was given to.
-template <class Use> void each_home(const wire::flow_job_row& row, Use&& use)
+template <class Use> void for_each_task_home(const wire::flow_job_row& row, Use&& use)
 {
     for (const wire::flow_stage_row& stage : row.stages) {
         for (const auto& [task, home] : stage.homes) {
@@ -49,7 +49,7 @@
 const char* name_of(order_result result);
 
 // Who tells the owner of a cell something of a job.
-enum class row_teller : std::uint8_t { own, other_cell, entry };
+enum class row_writer_kind : std::uint8_t { own, other_cell, entry };
 
 // A row that tells the owner of `cell` something of a job, and who writes it: the owner itself, the owner of another
 // cell, or one that is named with a mark.
@@ -59,7 +59,7 @@
     std::string writer;
 
     bool is_own() const { return writer == cell.str(); }
-    row_teller teller() const;
+    row_writer_kind writer_kind() const;
     friend auto operator<=>(const job_row_name&,
                             const job_row_name&) = default; // NOLINT(modernize-use-nullptr): wrong in clang-tidy 14
 };
@@ -71,9 +71,9 @@
 // That it is cancelled.
 job_row_name cancel_row(const cell_id& cell, const job_id& job);
 // Ends that an entry has heard of after it was followed, and its follower may not have.
-job_row_name left_ends_row(const cell_id& cell, const job_id& job, const incarnation_id& entry);
+job_row_name late_ends_row(const cell_id& cell, const job_id& job, const incarnation_id& entry);
 store_key job_row_key(const job_row_name& name);
-job_row_name job_row_of(const store_key& key);
+job_row_name parse_job_row_key(const store_key& key);
 // The rows of jobs, or the news of them, for one cell in one part.
 store_range cell_rows(const char* table, const cell_id& cell, const std::string& part);
 // The news of one job for one cell.
@@ -88,7 +88,7 @@
 store_key entry_key(const entry_id& entry);
 store_key layout_key(const data_centre_id& data_centre);
 // The range that holds this one row and no other.
-store_range only_row(store_key key);
+store_range single_row_range(store_key key);
 
 wire::flow_step_row to_row(const flow_step& step);
 flow_step from_row(const wire::flow_step_row& row);
--- a/src/flow_straggle.cpp
+++ b/src/flow_straggle.cpp
@@ -42,7 +42,7 @@
     return begun_ && newest_.percent < 100 && now - moved_ >= stalled_after;
 }
 
-bool run_progress::slower_than_anew(instant now, duration estimate) const
+bool run_progress::slower_than_restart(instant now, duration estimate) const
 {
     const duration watched = newest_.at - recent_.at;
     if (!begun_ || estimate <= duration(0) || watched < speed_least || now - newest_.at > stalled_after) {
--- a/src/flow_straggle_p.h
+++ b/src/flow_straggle_p.h
@@ -14,7 +14,7 @@
     // Nothing has moved for long, though nobody holds it back.
     bool stalled(instant now) const;
     // At its recent speed, what is left takes longer than running the whole task anew on a sound worker.
-    bool slower_than_anew(instant now, duration estimate) const;
+    bool slower_than_restart(instant now, duration estimate) const;
 
 private:
     struct look {
--- a/src/flow_types_p.h
+++ b/src/flow_types_p.h
@@ -71,9 +71,9 @@
     std::string service;
     std::int32_t priority = 0; // 0 first
     std::int32_t failures_most = 1;
-    double slack_factor = 1;    // of the longest chain, for the latency objective
-    duration latency_target{0}; // on top of it
-    bool advised = false;       // starts need a ticket of the advice service
+    double slack_factor = 1;      // of the longest chain, for the latency objective
+    duration latency_target{0};   // on top of it
+    bool requires_ticket = false; // starts need a ticket of the advice service
 };
 
 struct flow_service {
@@ -158,14 +158,14 @@
 
 enum class run_end : std::uint8_t { done, failed, stopped, lapsed, broken, alone };
 
-struct listed_run {
+struct reported_run {
     flow_task_id task;
     run_number run;
     std::string checkpoint;
     std::int32_t progress_percent = 0; // of a lasting task: 100 when it is at work
     std::int64_t measure = 0;          // a serving task: tail latency in ms; others: processors in use, in thousandths
 };
-struct listed_end {
+struct reported_end {
     end_number number;
     flow_task_id task;
     run_number run;
@@ -175,8 +175,8 @@
 struct order_answer {
     order_result result = order_result::no_answer;
     std::optional<worker_time> clock;
-    std::vector<listed_run> running; // of a hold
-    std::vector<listed_end> ends;    // of a hold
+    std::vector<reported_run> running; // of a hold
+    std::vector<reported_end> ends;    // of a hold
     std::string reason;
 };
 
--- a/tests/support_flow_world.cpp
+++ b/tests/support_flow_world.cpp
@@ -770,7 +770,7 @@
 // Ends that nobody has confirmed when the worker's lease ends, or the worker dies, need not be known to anybody.
 void flow_world::forget_unconfirmed(flow_fake_worker& w)
 {
-    for (const listed_end& end : w.ends) {
+    for (const reported_end& end : w.ends) {
         if (end.how == run_end::done && w.told.count(end.number) == 0 && w.forgotten.insert(end.number).second) {
             --done_[end.task];
         }
@@ -841,7 +841,7 @@
 
 void flow_world::note_told(flow_fake_worker& w, const order_answer& answer)
 {
-    for (const listed_end& end : answer.ends) {
+    for (const reported_end& end : answer.ends) {
         if (w.forgotten.count(end.number) == 0) {
             w.told.insert(end.number);
         }
@@ -957,9 +957,9 @@
     if (order.lease_until) {
         w.lease_until = std::max(w.lease_until, instant(order.lease_until->time_since_epoch() - w.clock_offset));
     }
-    w.ends.erase(
-        std::remove_if(w.ends.begin(), w.ends.end(), [&](const listed_end& e) { return e.number <= order.confirmed; }),
-        w.ends.end());
+    w.ends.erase(std::remove_if(w.ends.begin(), w.ends.end(),
+                                [&](const reported_end& e) { return e.number <= order.confirmed; }),
+                 w.ends.end());
     for (const auto& [task, run] : w.running) {
         const bool lasts = run.ends == instant::max();
         const auto done = lasts ? 100 : 100 * (now_ - run.begun) / (run.ends - run.begun);
@@ -1072,7 +1072,7 @@
 
 store_key earlier_key(const std::string& job)
 {
-    return {earlier_jobs_table, job_part(job_id(job)), job};
+    return {legacy_jobs_table, job_part(job_id(job)), job};
 }
 
 } // namespace
@@ -1096,7 +1096,7 @@
 {
     return std::count_if(rows_.begin(), rows_.end(), [&job](const auto& row) {
         return (row.first.table == jobs_table || row.first.table == news_table) &&
-               job_row_of(row.first).job == job_id(job);
+               parse_job_row_key(row.first).job == job_id(job);
     });
 }
 
--- a/tests/support_flow_world.h
+++ b/tests/support_flow_world.h
@@ -50,7 +50,7 @@
         instant stops{instant::max()};        // it was told to, and takes its time
     };
     std::map<flow_task_id, run> running;
-    std::vector<listed_end> ends;
+    std::vector<reported_end> ends;
     std::set<end_number> forgotten; // of `ends`: need not be known to anybody
     std::set<end_number> told;      // of `ends`: an answer that lists them has left for an entry
     std::int64_t last_end = 0;
--- a/tests/test_flow_commit.cpp
+++ b/tests/test_flow_commit.cpp
@@ -42,10 +42,10 @@
     const cell_id cell("a.2");
     const std::string part = job_part(job);
     for (const job_row_name& name : {own_row(cell, job), accepted_row(cell, job), cancel_row(cell, job),
-                                     left_ends_row(cell, job, incarnation_id("e1/7")), job_row_name{cell, job, "b"}}) {
+                                     late_ends_row(cell, job, incarnation_id("e1/7")), job_row_name{cell, job, "b"}}) {
         const store_key key = job_row_key(name);
         const store_range of_cell = cell_rows(key.table.c_str(), cell, part);
-        BOOST_TEST((job_row_of(key) == name));
+        BOOST_TEST((parse_job_row_key(key) == name));
         BOOST_TEST((key.part == part));
         BOOST_TEST((key.key >= of_cell.from && key.key < of_cell.to));
         BOOST_TEST((key.table == (name.is_own() ? jobs_table : news_table)));
--- a/tests/test_flow_demand.cpp
+++ b/tests/test_flow_demand.cpp
@@ -34,13 +34,13 @@
 {
     // A fifth of the rebuilds is never done: they ask for a third of all processors, five and a half jobs a second of
     // 151 processor seconds each, and lasting jobs that came before them left a tenth.
-    work_demand demand;
-    const double each = ending_cpu_seconds(make_job(false));
+    batch_demand demand;
+    const double each = batch_cpu_seconds(make_job(false));
     BOOST_TEST(each == 2 * 8 * 3500 * 2.7, boost::test_tools::tolerance(1e-9));
     for (int i = 0; i < 330; ++i) {
         demand.note(begun + i * 182ms, 0ms, each);
     }
-    const double reserve = ending_work_reserve(demand.cpu_millis(begun + 60s, begun, room), room);
+    const double reserve = batch_reserve(demand.cpu_millis(begun + 60s, begun, room), room);
     BOOST_TEST(reserve > 0.31);
     BOOST_TEST(reserve < 0.39);
 }
@@ -49,30 +49,29 @@
 {
     // An owner keeps a share free from its first moment, as it can't know yet what comes. It must not refuse watches
     // for ever on behalf of rebuilds that nobody hands in.
-    const work_demand demand;
-    BOOST_TEST(ending_work_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::demand_unseen,
+    const batch_demand demand;
+    BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::demand_unseen,
                boost::test_tools::tolerance(1e-6));
-    BOOST_TEST(ending_work_reserve(demand.cpu_millis(begun + 60s, begun, room), room) ==
-               flow_limits::ending_reserve_least);
-    BOOST_TEST(ending_cpu_seconds(make_job(true)) == 0);
+    BOOST_TEST(batch_reserve(demand.cpu_millis(begun + 60s, begun, room), room) == flow_limits::ending_reserve_least);
+    BOOST_TEST(batch_cpu_seconds(make_job(true)) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_rush_of_work_that_ends_does_not_shut_lasting_jobs_out)
 {
-    work_demand demand;
+    batch_demand demand;
     for (int i = 0; i < 1000; ++i) {
         demand.note(begun, 0ms, 100'000);
     }
-    BOOST_TEST(ending_work_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::ending_reserve_most);
-    BOOST_TEST(ending_work_reserve(5, 0) == flow_limits::ending_reserve_least); // no worker is known
+    BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::ending_reserve_most);
+    BOOST_TEST(batch_reserve(5, 0) == flow_limits::ending_reserve_least); // no worker is known
 }
 
 BOOST_AUTO_TEST_CASE(a_follower_counts_jobs_by_their_age)
 {
     // Callers are refused after each takeover: the follower reads the jobs of the last minute at once, and took them
     // for as many that came in within a moment.
-    work_demand seen;
-    work_demand read;
+    batch_demand seen;
+    batch_demand read;
     for (int i = 0; i < 60; ++i) {
         seen.note(begun + i * 1s, 0ms, 100'000);
         read.note(begun + 59s, (59 - i) * 1s, 100'000);
@@ -82,7 +81,7 @@
                    static_cast<double>(seen.cpu_millis(late, late - 1h, room)),
                boost::test_tools::tolerance(1e-3));
     // A clock that is behind the one that accepted the job.
-    work_demand ahead;
+    batch_demand ahead;
     ahead.note(begun, -5s, 100'000);
     BOOST_TEST(ahead.cpu_millis(begun, begun - 1h, room) == 5000);
 }
--- a/tests/test_flow_press.cpp
+++ b/tests/test_flow_interference.cpp
@@ -4,8 +4,8 @@
 #include <cmath>
 
 #include "base_random_p.h"
+#include "flow_interference_p.h"
 #include "flow_place_p.h"
-#include "flow_press_p.h"
 
 using namespace skylarkhub;
 
@@ -16,8 +16,8 @@
 // What a serving task measures beside filling work: a queue whose load the filling work makes heavier.
 double tail_at(double load, double pressure, double noise)
 {
-    const double busy = std::min(0.94, load * (1 + pressure));
-    return idle_tail / (1 - busy) * (1 + noise);
+    const double utilization = std::min(0.94, load * (1 + pressure));
+    return idle_tail / (1 - utilization) * (1 + noise);
 }
 
 // Looks at workers where image "heavy" presses 6 on "sensitive" and 0.5 on "calm", and "light" 0.5 on both.
@@ -38,7 +38,7 @@
             const int serving = model.serving_index(image);
             const double tail = tail_at(load, pressure, absl::Uniform(random, -0.05, 0.05));
             model.note_tail(serving, tail);
-            model.learn(serving, model.busy(serving, tail), load, shares);
+            model.learn(serving, model.utilization(serving, tail), load, shares);
         }
     }
     model.refit();
@@ -52,9 +52,9 @@
     show_looks(model, 60);
     const int heavy = model.filling_index("heavy");
     const int light = model.filling_index("light");
-    BOOST_TEST(model.press(model.serving_index("sensitive"), heavy) > 3);
-    BOOST_TEST(model.press(model.serving_index("sensitive"), light) < 1.5);
-    BOOST_TEST(model.press(model.serving_index("calm"), heavy) < 1.5);
+    BOOST_TEST(model.interference_coefficient(model.serving_index("sensitive"), heavy) > 3);
+    BOOST_TEST(model.interference_coefficient(model.serving_index("sensitive"), light) < 1.5);
+    BOOST_TEST(model.interference_coefficient(model.serving_index("calm"), heavy) < 1.5);
 }
 
 BOOST_AUTO_TEST_CASE(what_another_cell_learned_is_where_learning_starts)
@@ -62,12 +62,12 @@
     interference_model taught;
     show_looks(taught, 60);
     interference_model fresh;
-    for (const auto& [pair, press] : taught.learned()) {
+    for (const auto& [pair, interference_coefficient] : taught.learned()) {
         for (int i = 0; i < 10; ++i) {
-            fresh.hint(pair, press);
+            fresh.seed_coefficient(pair, interference_coefficient);
         }
     }
-    BOOST_TEST(fresh.press(fresh.serving_index("sensitive"), fresh.filling_index("heavy")) > 3);
+    BOOST_TEST(fresh.interference_coefficient(fresh.serving_index("sensitive"), fresh.filling_index("heavy")) > 3);
 }
 
 BOOST_AUTO_TEST_CASE(work_that_presses_least_keeps_its_pace)
@@ -103,13 +103,13 @@
     show_looks(model, 60);
     const int calm = model.serving_index("calm");
     for (const double load : {0.2, 0.42, 0.62}) {
-        const double bears = model.bearable(calm, load);
-        BOOST_TEST(tail_at(load, bears, 0) < 1.0);
-        BOOST_TEST(tail_at(load, bears, 0) > 0.7);
+        const double tolerated_pressure = model.tolerable_pressure(calm, load);
+        BOOST_TEST(tail_at(load, tolerated_pressure, 0) < 1.0);
+        BOOST_TEST(tail_at(load, tolerated_pressure, 0) > 0.7);
     }
-    BOOST_TEST(model.bearable(calm, 0.62) < 0.35);
-    BOOST_TEST(model.bearable(calm, 0.42) > 0.6);
-    BOOST_TEST(model.bearable(calm, 0.95) == 0);
+    BOOST_TEST(model.tolerable_pressure(calm, 0.62) < 0.35);
+    BOOST_TEST(model.tolerable_pressure(calm, 0.42) > 0.6);
+    BOOST_TEST(model.tolerable_pressure(calm, 0.95) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_backlog_says_nothing_of_the_load)
@@ -119,9 +119,9 @@
     const int filling = model.filling_index("crawl");
     std::vector<double> shares(1, 0.5);
     shares.resize(static_cast<std::size_t>(filling) + 1, 0.5);
-    BOOST_TEST(model.load_weight(serving, model.busy(serving, 30), shares) == 0);
-    BOOST_TEST(model.load_weight(serving, model.busy(serving, 0.4), {}) == 1);
-    BOOST_TEST(model.load_weight(serving, model.busy(serving, 0.4), shares) < 0.2);
+    BOOST_TEST(model.load_weight(serving, model.utilization(serving, 30), shares) == 0);
+    BOOST_TEST(model.load_weight(serving, model.utilization(serving, 0.4), {}) == 1);
+    BOOST_TEST(model.load_weight(serving, model.utilization(serving, 0.4), shares) < 0.2);
 }
 
 BOOST_AUTO_TEST_CASE(serving_tasks_are_packed_and_whole_workers_left_to_filling_work)
@@ -130,23 +130,23 @@
     serving.lasting = true;
     serving.need = {6000, 8000, 0};
     serving.tail_target = std::chrono::milliseconds(18);
-    place_option empty;
+    placement_candidate empty;
     empty.room = {32000, 128000, 0};
-    place_option begun = empty;
+    placement_candidate begun = empty;
     begun.held = {12000, 16000, 0};
     begun.lasting_cpu = 12000;
     begun.serving = 2;
-    place_option nearly_full = begun;
+    placement_candidate nearly_full = begun;
     nearly_full.held = {24000, 32000, 0};
     nearly_full.lasting_cpu = 24000;
     nearly_full.serving = 4;
-    BOOST_TEST(place_cost(begun, serving, {}) < place_cost(empty, serving, {}));
-    BOOST_TEST(place_cost(nearly_full, serving, {}) < place_cost(begun, serving, {}));
+    BOOST_TEST(placement_cost(begun, serving, {}) < placement_cost(empty, serving, {}));
+    BOOST_TEST(placement_cost(nearly_full, serving, {}) < placement_cost(begun, serving, {}));
 
     flow_step filling;
     filling.filling = true;
     filling.need = {3000, 4000, 0};
-    BOOST_TEST(place_cost(empty, filling, {}) < place_cost(begun, filling, {}));
+    BOOST_TEST(placement_cost(empty, filling, {}) < placement_cost(begun, filling, {}));
 }
 
 BOOST_AUTO_TEST_CASE(filling_work_is_not_counted_against_the_room)
@@ -156,7 +156,7 @@
     filling.need = {8000, 1000, 0};
     flow_step plain = filling;
     plain.filling = false;
-    place_option option;
+    placement_candidate option;
     option.room = {16000, 64000, 0};
     option.held = {12000, 4000, 0};
     BOOST_TEST(has_room(option, filling));
@@ -170,13 +170,13 @@
     flow_step step;
     step.need = {1000, 1000, 0};
     step.data_rack = rack_id("r1");
-    place_option near;
+    placement_candidate near;
     near.room = {16000, 64000, 0};
     near.rack = rack_id("r1");
-    place_option far = near;
+    placement_candidate far = near;
     far.rack = rack_id("r2");
-    place_option failing = near;
+    placement_candidate failing = near;
     failing.distrust = 2;
-    BOOST_TEST(place_cost(near, step, {}) < place_cost(far, step, {}));
-    BOOST_TEST(place_cost(near, step, {}) < place_cost(failing, step, {}));
+    BOOST_TEST(placement_cost(near, step, {}) < placement_cost(far, step, {}));
+    BOOST_TEST(placement_cost(near, step, {}) < placement_cost(failing, step, {}));
 }
--- a/tests/test_flow_job.cpp
+++ b/tests/test_flow_job.cpp
@@ -67,12 +67,12 @@
     flow.note_done({job, 0, 0, 1});
     wire::flow_job_row other = two_steps();
     other.cancelled = true;
-    flow.merge(instant{}, other, row_teller::other_cell);
+    flow.merge(instant{}, other, row_writer_kind::other_cell);
     BOOST_TEST(flow.cancelled());
     BOOST_TEST(flow.dirty());
     flow_job again(job, here, flow.current_row(), row_version(3));
     BOOST_TEST(again.cancelled());
-    BOOST_TEST((again.stages().at(0).tasks.at(1).stage == task_stage::done));
+    BOOST_TEST((again.stages().at(0).tasks.at(1).stage == flow_task_state::done));
 }
 
 BOOST_AUTO_TEST_CASE(runs_are_numbered_above_those_of_earlier_owners)
@@ -90,13 +90,13 @@
     flow_job flow(job, here, two_steps(), row_version(1));
     flow.open_stages(instant{}, wall_time{});
     flow.find_task({job, 0, 0, 2})->last_run = run_number(4);
-    flow.give_away({job, 0, 0, 2}, cell_id("b"), epoch(9), epoch(3));
+    flow.hand_off_task({job, 0, 0, 2}, cell_id("b"), epoch(9), epoch(3));
     BOOST_TEST(flow.stages().at(0).ready == 2);
     flow_job there(job, cell_id("b"), flow.current_row(), row_version(2));
     there.open_stages(instant{}, wall_time{});
     BOOST_TEST(there.stages().at(0).ready == 1);
     BOOST_TEST(there.next_run(*there.find_task({job, 0, 0, 2}), epoch(9)).value() == 5);
-    BOOST_TEST(there.concerns_here());
+    BOOST_TEST(there.involves_this_cell());
 }
 
 BOOST_AUTO_TEST_CASE(settings_are_checked_as_a_whole)
@@ -128,8 +128,8 @@
     giver.open_stages(instant{}, wall_time{});
     flow_job followed(job, cell_id("b"), two_steps(), row_version(0));
     BOOST_TEST((followed.newest_epoch() == epoch(0)));
-    giver.give_away({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
-    followed.merge(instant{}, giver.current_row(), row_teller::other_cell);
+    giver.hand_off_task({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
+    followed.merge(instant{}, giver.current_row(), row_writer_kind::other_cell);
     BOOST_TEST((followed.newest_epoch() == epoch(4)));
 }
 
@@ -138,13 +138,13 @@
 {
     flow_job giver(job, here, two_steps(), row_version(1));
     giver.open_stages(instant{}, wall_time{});
-    giver.give_away({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
+    giver.hand_off_task({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
     flow_job receiver(job, cell_id("b"), giver.current_row(), row_version(0));
     const flow_task& task = *receiver.find_task({job, 0, 0, 0});
     BOOST_TEST(receiver.dirty());
-    BOOST_TEST(!receiver.is_received(task));
+    BOOST_TEST(!receiver.is_transfer_persisted(task));
     receiver.mark_written(receiver.changes(), row_version(2));
-    BOOST_TEST(receiver.is_received(task));
+    BOOST_TEST(receiver.is_transfer_persisted(task));
     const flow_job follower(job, cell_id("b"), receiver.current_row(), row_version(2));
     BOOST_TEST(!follower.dirty());
 }
@@ -156,11 +156,11 @@
     flow_job left(job, cell_id("b"), two_steps(), row_version(1));
     left.note_done({job, 0, 0, 0});
     flow_job next(job, cell_id("b"), two_steps(), row_version(1));
-    next.merge(instant{}, left.current_row(), row_teller::entry);
+    next.merge(instant{}, left.current_row(), row_writer_kind::entry);
     BOOST_TEST(next.dirty());
-    BOOST_TEST((next.cells_to_tell() == std::vector<cell_id>{here}));
+    BOOST_TEST((next.cells_to_notify() == std::vector<cell_id>{here}));
     flow_job other(job, cell_id("b"), two_steps(), row_version(1));
-    other.merge(instant{}, left.current_row(), row_teller::other_cell);
+    other.merge(instant{}, left.current_row(), row_writer_kind::other_cell);
     BOOST_TEST(!other.dirty());
 }
 
@@ -170,18 +170,18 @@
 {
     flow_job home(job, here, two_steps(), row_version(1));
     home.open_stages(instant{}, wall_time{});
-    home.give_away({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
+    home.hand_off_task({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
     wire::flow_job_row cancel;
     cancel.cancelled = true;
     cancel.starts_noted = true;
-    home.merge(instant{}, cancel, row_teller::entry);
+    home.merge(instant{}, cancel, row_writer_kind::entry);
     home.mark_written(home.changes(), row_version(2));
     flow_job giver(job, cell_id("b"), home.current_row(), row_version(1));
     giver.open_stages(instant{}, wall_time{});
-    giver.give_away({job, 0, 0, 0}, cell_id("c"), epoch(7), epoch(4));
-    home.merge(instant{}, giver.current_row(), row_teller::other_cell);
+    giver.hand_off_task({job, 0, 0, 0}, cell_id("c"), epoch(7), epoch(4));
+    home.merge(instant{}, giver.current_row(), row_writer_kind::other_cell);
     BOOST_TEST(home.dirty());
-    BOOST_TEST((home.cells_to_tell() == std::vector<cell_id>{cell_id("c")}));
+    BOOST_TEST((home.cells_to_notify() == std::vector<cell_id>{cell_id("c")}));
 }
 
 // Owners tell each other of each write, and a site with many cells spends its writes on news that change nothing.
@@ -189,19 +189,19 @@
 {
     flow_job home(job, here, two_steps(), row_version(1));
     home.open_stages(instant{}, wall_time{});
-    BOOST_TEST(home.cells_to_tell().empty());
-    home.give_away({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
-    BOOST_TEST((home.cells_to_tell() == std::vector<cell_id>{cell_id("b")}));
+    BOOST_TEST(home.cells_to_notify().empty());
+    home.hand_off_task({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
+    BOOST_TEST((home.cells_to_notify() == std::vector<cell_id>{cell_id("b")}));
     home.mark_written(home.changes(), row_version(2));
     home.note_done({job, 0, 0, 1});
-    BOOST_TEST(home.cells_to_tell().empty());
-    home.note_teller("c");
-    home.note_teller("!accepted");
+    BOOST_TEST(home.cells_to_notify().empty());
+    home.note_writer("c");
+    home.note_writer("!accepted");
     home.note_outcome(flow_state::failed);
-    BOOST_TEST((home.cells_to_tell() == std::vector<cell_id>{cell_id("b"), cell_id("c")}));
+    BOOST_TEST((home.cells_to_notify() == std::vector<cell_id>{cell_id("b"), cell_id("c")}));
     flow_job other(job, cell_id("c"), two_steps(), row_version(1));
     other.note_done({job, 0, 0, 2});
-    BOOST_TEST((other.cells_to_tell() == std::vector<cell_id>{here}));
+    BOOST_TEST((other.cells_to_notify() == std::vector<cell_id>{here}));
 }
 
 BOOST_AUTO_TEST_CASE(the_newest_start_counts_whoever_noted_it)
@@ -213,12 +213,12 @@
     flow_job other(job, here, two_steps(), row_version(1));
     one.note_start(task, worker_id("w1"), run_number(1));
     other.note_start(task, worker_id("w2"), run_number(1001));
-    one.merge(instant{}, other.current_row(), row_teller::other_cell);
+    one.merge(instant{}, other.current_row(), row_writer_kind::other_cell);
     BOOST_TEST(one.find_task(task)->start.worker == "w2");
-    one.note_gone(task, run_number(1));
+    one.note_run_ended(task, run_number(1));
     BOOST_TEST(one.find_task(task)->start.worker == "w2");
-    other.note_gone(task, run_number(1001));
-    one.merge(instant{}, other.current_row(), row_teller::other_cell);
+    other.note_run_ended(task, run_number(1001));
+    one.merge(instant{}, other.current_row(), row_writer_kind::other_cell);
     BOOST_TEST(one.find_task(task)->start.worker.empty());
     BOOST_TEST((one.next_run(*one.find_task(task), epoch(3)) == run_number(1002)));
 }
@@ -231,7 +231,7 @@
     BOOST_TEST(flow.row().starts_noted);
     wire::flow_job_row older = flow.current_row();
     older.starts_noted = false;
-    flow.merge(instant{}, older, row_teller::other_cell);
+    flow.merge(instant{}, older, row_writer_kind::other_cell);
     BOOST_TEST(!flow.current_row().starts_noted);
 }
 
@@ -259,7 +259,7 @@
     BOOST_TEST(one.note_failure(task, run_number(1)) == 1);
     flow_job other(job, here, two_steps(), row_version(1));
     BOOST_TEST(other.note_failure(task, run_number(1001)) == 1);
-    one.merge(instant{}, other.current_row(), row_teller::other_cell);
+    one.merge(instant{}, other.current_row(), row_writer_kind::other_cell);
     BOOST_TEST(one.note_failure(task, run_number(1001)) == 2);
     BOOST_TEST(one.dirty());
 }
@@ -284,11 +284,11 @@
     crash.run = 1;
     crash.beside = true;
     flow_job one(job, here, two_steps(), row_version(1));
-    BOOST_TEST(one.note_crash(task, crash, crash_note::passing));
+    BOOST_TEST(one.note_crash(task, crash, crash_persistence::deferred));
     BOOST_TEST(!one.dirty());
     BOOST_TEST(one.current_row().stages.front().crashes.at(0).size() == 1U);
     one.note_outlived(task, run_number(1));
-    BOOST_TEST(!one.note_crash(task, crash, crash_note::passing));
+    BOOST_TEST(!one.note_crash(task, crash, crash_persistence::deferred));
     BOOST_TEST(one.find_task(task)->crashes.empty());
 }
 
@@ -307,21 +307,21 @@
     };
     flow_job one(job, here, two_steps(), row_version(1));
     flow_job other(job, here, two_steps(), row_version(1));
-    one.note_crash(task, crash(1), crash_note::written);
-    one.note_crash(task, crash(2), crash_note::written);
-    other.note_crash(task, crash(1001), crash_note::written);
-    other.note_crash(task, crash(2), crash_note::written);
+    one.note_crash(task, crash(1), crash_persistence::written);
+    one.note_crash(task, crash(2), crash_persistence::written);
+    other.note_crash(task, crash(1001), crash_persistence::written);
+    other.note_crash(task, crash(2), crash_persistence::written);
     const wire::flow_job_row of_one = one.current_row();
-    one.merge(instant{}, other.current_row(), row_teller::other_cell);
-    other.merge(instant{}, of_one, row_teller::other_cell);
-    other.merge(instant{}, of_one, row_teller::other_cell);
+    one.merge(instant{}, other.current_row(), row_writer_kind::other_cell);
+    other.merge(instant{}, of_one, row_writer_kind::other_cell);
+    other.merge(instant{}, of_one, row_writer_kind::other_cell);
     BOOST_TEST(one.find_task(task)->crashes.size() == 3U);
     BOOST_TEST(other.find_task(task)->crashes.size() == 3U);
     BOOST_TEST(one.find_task(task)->crashes_workers());
     one.note_outlived(task, run_number(1001));
     BOOST_TEST(one.find_task(task)->crashes.empty());
-    one.merge(instant{}, of_one, row_teller::other_cell);
-    other.merge(instant{}, one.current_row(), row_teller::other_cell);
+    one.merge(instant{}, of_one, row_writer_kind::other_cell);
+    other.merge(instant{}, one.current_row(), row_writer_kind::other_cell);
     BOOST_TEST(one.find_task(task)->crashes.empty());
     BOOST_TEST(other.find_task(task)->crashes.empty());
 }
