--- a/bench/bench_flow.cpp
+++ b/bench/bench_flow.cpp
@@ -93,7 +93,7 @@
             }
             const double before = thread_micros();
             what();
-            entry_->settle(now_);
+            entry_->run_deferred_work(now_);
             cost& c = costs_[kind];
             c.micros += thread_micros() - before;
             ++c.events;
@@ -395,7 +395,8 @@
     // Names of entries and presses are told for somewhat more than one round of hellos, as the product does.
     std::string hello_text(int p) const
     {
-        const bool with_rest = now_.time_since_epoch() % flow_limits::presses_interval < flow_limits::presses_told_for;
+        const bool with_rest =
+            now_.time_since_epoch() % flow_limits::presses_interval < flow_limits::presses_report_window;
         wire::flow_message message;
         wire::flow_hello h;
         const auto row = [](const entry_identity& e) {
@@ -478,8 +479,8 @@
                 }
             });
         };
-        edges.tell = [this](const net_address& peer, const wire::flow_message& message,
-                            const std::function<void(instant, std::optional<wire::flow_message>)>& done) {
+        edges.send_message = [this](const net_address& peer, const wire::flow_message& message,
+                                    const std::function<void(instant, std::optional<wire::flow_message>)>& done) {
             static_cast<void>(encode_compact(message));
             const std::string host = peer.str().substr(0, peer.str().find(':'));
             const int p = std::atoi(host.substr(host.rfind('.') + 1).c_str());
@@ -497,8 +498,8 @@
             });
         };
         edges.watch_operator = [this](row_version after, duration wait,
-                                      const std::function<void(instant, operator_page)>& done) {
-            operator_page page;
+                                      const std::function<void(instant, operator_update)>& done) {
+            operator_update page;
             page.reached = true;
             page.version = row_version(1);
             if (after == row_version(0)) {
--- a/src/daemon_flow_app.cpp
+++ b/src/daemon_flow_app.cpp
@@ -63,7 +63,7 @@
     }
     const instant now = read_clock();
     step(now);
-    entry_->settle(now);
+    entry_->run_deferred_work(now);
 }
 
 flow_edges flow_app::make_edges()
@@ -80,8 +80,8 @@
     };
     context.run = [this](const std::function<void(instant)>& step) { run(step); };
     platform::fill_edges(context, edges);
-    edges.tell = [this](const net_address& peer, const wire::flow_message& message,
-                        std::function<void(instant, std::optional<wire::flow_message>)> done) {
+    edges.send_message = [this](const net_address& peer, const wire::flow_message& message,
+                                std::function<void(instant, std::optional<wire::flow_message>)> done) {
         http_call call;
         call.method = "POST";
         call.address = peer;
@@ -172,7 +172,7 @@
         write_value(out, "jobs_waiting", labels, static_cast<std::int64_t>(cell->waiting_count()));
     }
     write_value(out, "config_version", "", entry_->config_version().value());
-    write_value(out, "config_newest_version", "", entry_->newest_config(read_clock()).value());
+    write_value(out, "config_newest_version", "", entry_->newest_config_version(read_clock()).value());
     write_value(out, "log_lines_dropped_total", "", log_lines_dropped());
     write_value(out, "log_bytes_total", "", log_bytes_written());
     return out;
--- a/src/flow_cell_commit.cpp
+++ b/src/flow_cell_commit.cpp
@@ -21,7 +21,7 @@
 {
     const std::string part = job_part(job.id());
     parts_[part].dirty.try_emplace(job.id(), now);
-    commit_soon(now, part, urgent ? duration(0) : commit_gap);
+    commit_soon(now, part, urgent ? duration(0) : commit_batch_delay);
 }
 
 void flow_cell::commit_soon(instant now, const std::string& part, duration wait)
@@ -47,7 +47,7 @@
         order.emplace_back(since, id);
     }
     std::sort(order.begin(), order.end());
-    order.resize(std::min(order.size(), commit_rows_most));
+    order.resize(std::min(order.size(), max_commit_rows));
     std::vector<job_id> rows;
     std::transform(order.begin(), order.end(), std::back_inserter(rows), [](const auto& row) { return row.second; });
     return rows;
@@ -103,10 +103,10 @@
 flow_cell::committed_row flow_cell::row_of(const flow_job& job) const
 {
     committed_row row{job.id(), job.changes(), job.current_row(), job.cells_to_notify()};
-    if (row.told.size() > cells_told_most) {
+    if (row.told.size() > max_cells_notified) {
         edges_.note(log_level::error, "job", "in_too_many_cells",
                     {{"job", job.id().str()}, {"cells", std::to_string(row.told.size())}});
-        row.told.resize(cells_told_most);
+        row.told.resize(max_cells_notified);
     }
     return row;
 }
@@ -134,7 +134,7 @@
     for (const job_id& id : ids) {
         const flow_job& job = *jobs_.at(id);
         committed_row row = row_of(job);
-        if (!rows.empty() && t.checks.size() + t.puts.size() + row.told.size() + own_entries > commit_entries_most) {
+        if (!rows.empty() && t.checks.size() + t.puts.size() + row.told.size() + own_entries > max_commit_entries) {
             break;
         }
         add_row(t, job, row);
@@ -155,8 +155,8 @@
 {
     part_state& state = parts_[job_part(id)];
     if (state.removable.empty()) {
-        state.removals_due = now + removal_gap;
-        edges_.after(removal_gap, [](instant) {}); // settle() runs after it
+        state.removals_due = now + removal_interval;
+        edges_.after(removal_interval, [](instant) {}); // settle() runs after it
     }
     state.removable[id] = std::move(keys);
 }
@@ -169,7 +169,7 @@
     store_transaction t;
     t.checks.push_back({fence_key(id_, part), *state.fence});
     while (!state.removable.empty() &&
-           (t.removes.empty() || t.removes.size() + state.removable.begin()->second.size() < commit_entries_most)) {
+           (t.removes.empty() || t.removes.size() + state.removable.begin()->second.size() < max_commit_entries)) {
         const auto job = state.removable.extract(state.removable.begin());
         t.removes.insert(t.removes.end(), job.mapped().begin(), job.mapped().end());
     }
@@ -178,9 +178,9 @@
             edges_.note(log_level::info, "table", "rows_not_removed", {{"part", part}, {"reason", result.reason}});
         }
     });
-    state.removals_due = now + commit_gap; // of those that are left
+    state.removals_due = now + commit_batch_delay; // of those that are left
     if (!state.removable.empty()) {
-        edges_.after(commit_gap, [](instant) {});
+        edges_.after(commit_batch_delay, [](instant) {});
     }
 }
 
@@ -237,7 +237,7 @@
         break;
     case table_outcome::refused:
     case table_outcome::unknown:
-        state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_most);
+        state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_max);
         state.held_until = now + state.backoff;
         ++stats_.commits_failed;
         edges_.note(log_level::warning, "table", "commit_failed", {{"part", part}, {"reason", result.reason}});
@@ -261,7 +261,7 @@
     read_rows(job, [this, job, ends](instant, const std::vector<store_row>* rows) {
         const auto again = [this, job, ends](instant) { leave_ends(job, ends); };
         if (rows == nullptr) {
-            edges_.after(commit_retry_most, again);
+            edges_.after(commit_retry_max, again);
             return;
         }
         const std::unique_ptr<flow_job> left = read_job(job, *rows);
@@ -289,11 +289,11 @@
         edges_.commit(std::move(t), [this, name, again, told](instant now, const store_result& result) {
             if (result.outcome != table_outcome::applied) {
                 const bool conflict = result.outcome == table_outcome::conflict;
-                edges_.after(conflict ? commit_retry : commit_retry_most, again);
+                edges_.after(conflict ? commit_retry : commit_retry_max, again);
                 return;
             }
             edges_.note(log_level::info, "job", "ends_left", {{"job", name.job.str()}, {"cell", id_.str()}});
-            hooks_.tell_cell(now, name, told, result.version);
+            hooks_.notify_cell_owner(now, name, told, result.version);
         });
     });
 }
--- a/src/flow_cell_crashes.cpp
+++ b/src/flow_cell_crashes.cpp
@@ -115,7 +115,7 @@
                 const worker_id worker(task.start.worker);
                 if (task.may_crash_workers() && worker.valid() && is_over(worker)) {
                     lost_run lost{job->task_id(stage, i), run_number(task.start.run), {}};
-                    lost.in_crash.age = noted_age;
+                    lost.in_crash.age = start_only_run_age;
                     lost.in_crash.charged = true;
                     note_crash_under(now, worker, lost);
                 }
@@ -138,7 +138,7 @@
 // A worker that does not answer may have crashed, or be cut off. Which it was shows when its address is heard of again.
 void flow_cell::remember_lapsed(instant now, const cell_worker& w)
 {
-    std::erase_if(lapsed_, [now](const auto& l) { return now - l.second.at > lapsed_kept; });
+    std::erase_if(lapsed_, [now](const auto& l) { return now - l.second.at > lapsed_retention; });
     if (w.ledger.empty() || w.listing.draining) {
         return;
     }
--- a/src/flow_cell_drain.cpp
+++ b/src/flow_cell_drain.cpp
@@ -16,7 +16,7 @@
 // worker goes.
 void flow_cell::vacate_draining(instant now)
 {
-    next_vacating_ = now + vacate_interval;
+    next_vacating_ = now + drain_interval;
     if (!may_send(now) || stopping_) {
         return;
     }
--- a/src/flow_cell_gangs.cpp
+++ b/src/flow_cell_gangs.cpp
@@ -59,7 +59,7 @@
 bool flow_cell::spread_gang(instant now, flow_job& job, flow_stage& stage)
 {
     const bool waits = std::all_of(stage.tasks.begin(), stage.tasks.end(), [&](const flow_task& task) {
-        return task.stage == flow_task_state::ready && task.runs.empty() && now - task.ready_since >= give_away_after;
+        return task.stage == flow_task_state::ready && task.runs.empty() && now - task.ready_since >= handoff_after;
     });
     if (!waits) {
         return false;
@@ -68,7 +68,7 @@
     std::vector<flow_cell_room> rooms = hooks_.list_room(now, id_, job.row().service_name, job.step(stage));
     const bool whole = !rooms.empty() && rooms.front().tasks >= count;
     if (!whole) {
-        const duration patience = count_ever(job, stage) < count ? gang_spread_after : gang_spread_late;
+        const duration patience = count_ever(job, stage) < count ? gang_spread_after : gang_spread_after_full;
         const bool patient = std::any_of(stage.tasks.begin(), stage.tasks.end(),
                                          [&](const flow_task& task) { return now - task.ready_since < patience; });
         if (rooms.empty() || patient) {
@@ -100,7 +100,7 @@
             stage.tasks[next].ready_since = now; // waits for the others from now on
         }
     }
-    stats_.given_away += count;
+    stats_.handed_off += count;
     edges_.note(log_level::info, "gang", "given_away",
                 {{"job", job.id().str()},
                  {"step", std::to_string(stage.step)},
@@ -159,7 +159,7 @@
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
         const flow_task& task = stage.tasks[i];
         if (task.stage != flow_task_state::ready || !task.runs.empty() ||
-            (joins && now - task.ready_since < gang_join_most)) {
+            (joins && now - task.ready_since < gang_join_timeout)) {
             continue;
         }
         if (job_here && (!run || changed)) {
--- a/src/flow_cell_log.cpp
+++ b/src/flow_cell_log.cpp
@@ -27,7 +27,7 @@
     if (!may_send(now)) {
         return {task_wait_reason::owner_silent, worker_id()};
     }
-    if (!listed_since_taken_ && now - taken_at_ < list_wait_most) {
+    if (!listed_since_taken_ && now - taken_at_ < list_wait_timeout) {
         return {task_wait_reason::workers_not_listed, worker_id()};
     }
     if (!job.is_transfer_persisted(task)) {
@@ -73,7 +73,7 @@
     std::sort(waiting.begin(), waiting.end(), [](const waiting_task& a, const waiting_task& b) {
         return std::pair(!a.lasting, a.since) < std::pair(!b.lasting, b.since);
     });
-    waiting.resize(std::min(waiting.size(), waits_logged_most));
+    waiting.resize(std::min(waiting.size(), max_waits_logged));
     for (const waiting_task& w : waiting) {
         const task_wait why = why_waits(now, *w.job, *w.stage, w.stage->tasks[w.index]);
         const auto on = workers_.find(why.worker);
--- a/src/flow_cell_moves.cpp
+++ b/src/flow_cell_moves.cpp
@@ -15,8 +15,8 @@
 // many writes as all other work together, of rows that every owner writes; so each move is waited for twice as long.
 duration wait_before_move(const flow_step& step, const flow_task& task)
 {
-    const std::int32_t doublings = step.filling ? std::min(task.home.moves, move_doublings_most) : 0;
-    return give_away_after * (1 << doublings);
+    const std::int32_t doublings = step.filling ? std::min(task.home.moves, max_move_backoff_doublings) : 0;
+    return handoff_after * (1 << doublings);
 }
 
 } // namespace
@@ -32,7 +32,7 @@
                  {"from", id_.str()},
                  {"to", to.first.str()}});
     job.hand_off_task(task, to.first, to.second, epoch_);
-    ++stats_.given_away;
+    ++stats_.handed_off;
     index_ready(job);
     job_changed(now, job, job.step(*job.find_stage(task)).lasting); // others may share the write
 }
@@ -41,11 +41,11 @@
 // last, while others stay empty.
 void flow_cell::give_away_waiting(instant now)
 {
-    next_give_away_ = now + give_away_interval;
+    next_give_away_ = now + handoff_interval;
     if (stopping_ || !may_send(now)) {
         return;
     }
-    int left = give_away_most;
+    int left = max_handoffs;
     kept_in_round_ = 0;
     index_ready_again();
     const std::set<ready_key> waiting = ready_;
@@ -107,7 +107,7 @@
     if (!to && step.lasting && !can_make_room(job, stage)) {
         to = hooks_.find_room(now, id_, service, step, room_kind::reservable);
     }
-    return to && job.may_extend_to(to->first, cells_per_job_most) ? to : std::nullopt;
+    return to && job.may_extend_to(to->first, max_cells_per_job) ? to : std::nullopt;
 }
 
 // Whether the task fits on the worker if only tasks that last stay there.
@@ -139,7 +139,7 @@
 // them on a site that is full. Of the workers that will do, the one where least has to end.
 void flow_cell::reserve_for(instant now, const flow_job& job, const flow_stage& stage)
 {
-    const auto most = static_cast<int>(reserved_share_most * static_cast<double>(workers_.size())) + 1;
+    const auto most = static_cast<int>(max_reserved_share * static_cast<double>(workers_.size())) + 1;
     if (reserved_in_pass_ >= most) {
         return;
     }
@@ -158,7 +158,7 @@
     }
     if (best != nullptr) {
         best->reserved_in = placing_pass_;
-        best->reserved_until = now + reserved_for;
+        best->reserved_until = now + reservation_timeout;
         ++reserved_in_pass_;
     }
 }
--- a/src/flow_cell_own.cpp
+++ b/src/flow_cell_own.cpp
@@ -30,13 +30,13 @@
 // what runs is kept alive.
 bool flow_cell::may_send(instant now) const
 {
-    return role_ == role::owning && is_unfollowed(now, owner_hold);
+    return role_ == role::owning && is_unfollowed(now, ownership_lease);
 }
 
 // Workers may be asked, and their leases renewed, also while the rows are read.
 bool flow_cell::may_hold(instant now) const
 {
-    return owns() && is_unfollowed(now, owner_hold);
+    return owns() && is_unfollowed(now, ownership_lease);
 }
 
 // A follower comes before its owner falls silent, and renews leases that the owner believes to have ended: what can be
@@ -49,7 +49,7 @@
 bool flow_cell::is_unfollowed(instant now, duration hold) const
 {
     const duration age = now - renewed_;
-    return age < hold || (age < owner_hold_outage && hooks_.table_outage(now, renewed_));
+    return age < hold || (age < ownership_lease_outage && hooks_.table_outage(now, renewed_));
 }
 
 void flow_cell::read_row(instant now)
@@ -80,7 +80,7 @@
     }
     // A row that could not be read for a while may stand unchanged because its owner could not write it either: it is
     // given the time of a silence from now on.
-    if (changed || now - row_answered_at_ > row_unread_most) {
+    if (changed || now - row_answered_at_ > max_row_read_age) {
         row_unchanged_since_ = now;
     }
     row_answered_at_ = now;
@@ -131,7 +131,7 @@
     if (!listed_since_taken_ || alone_waits_) {
         place_soon();
     }
-    std::erase_if(put_away_, [&](const auto& job) { return now - job.second > put_away_kept; });
+    std::erase_if(put_away_, [&](const auto& job) { return now - job.second > ended_job_retention; });
     tick_timed(now);
     if (now >= next_summary_) {
         next_summary_ = now + summary_interval;
@@ -165,7 +165,7 @@
         read_if_older(row_read_interval);
         return;
     }
-    const duration turn = candidate_step * c.rank + (c.same_data_centre ? duration(0) : 2 * candidate_step);
+    const duration turn = candidate_stagger * c.rank + (c.same_data_centre ? duration(0) : 2 * candidate_stagger);
     const duration unchanged = now - row_unchanged_since_;
     const bool ours = row_present_ && row_.owner == self_.entry.str();
     if (ours && !row_.released) {
@@ -173,7 +173,7 @@
         return;
     }
     if (!row_present_ || row_.released) {
-        if (unchanged >= turn && !read_if_older(row_fresh)) {
+        if (unchanged >= turn && !read_if_older(max_free_row_age)) {
             take(now);
         }
         return;
@@ -207,7 +207,7 @@
         return;
     }
     const duration silence = c.same_data_centre ? owner_silence_local : owner_silence_remote;
-    if (unchanged < silence + candidate_step * c.rank) {
+    if (unchanged < silence + candidate_stagger * c.rank) {
         return;
     }
     if (c.same_data_centre) {
@@ -271,7 +271,7 @@
     const bool own_take = take_in_doubt_ && row_present_ && row_.incarnation == self_.incarnation.str();
     const bool certainly_gone = fresh_ || row_.released || row_.owner == self_.entry.str();
     if (!own_take) {
-        old_owner_silent_ = certainly_gone ? now : std::max(now, row_seen_at_ + owner_hold);
+        old_owner_silent_ = certainly_gone ? now : std::max(now, row_seen_at_ + ownership_lease);
     }
     bound_inherited(row_);
     wanted.workers = tell_workers(now, false);
@@ -333,7 +333,7 @@
         state.read = false;
     }
     watched_ = row_version(std::numeric_limits<std::int64_t>::max());
-    for (int i = 0; i < job_readers; ++i) {
+    for (int i = 0; i < job_read_concurrency; ++i) {
         begin_part();
     }
 }
@@ -376,7 +376,7 @@
         return;
     }
     if (result.outcome != table_outcome::conflict) {
-        state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_most);
+        state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_max);
         edges_.after(state.backoff, [this, part, life = life_](instant) {
             if (life == life_) {
                 fence_part(part, row_version(0));
@@ -562,7 +562,7 @@
         wire::flow_worker_name name;
         name.worker = id.str();
         name.address = w.listing.address.str();
-        name.silent = (table_answers && w.silent >= silent_holds_most) || (w.told_silent && !w.is_asked());
+        name.silent = (table_answers && w.silent >= max_unanswered_holds) || (w.told_silent && !w.is_asked());
         w.told_silent = w.told_silent || name.silent;
         if (name.silent || releasing) {
             name.lease_left_ms = whole_ms(std::max(duration(0), w.lapsed_after - now));
@@ -657,7 +657,7 @@
 {
     edges_.note(log_level::warning, "cell", "lost",
                 {{"cell", id_.str()}, {"epoch", std::to_string(epoch_.value())}, {"reason", reason}});
-    ++stats_.losses;
+    ++stats_.ownership_losses;
     leave_unwritten_ends();
     ++life_;
     role_ = role::watching;
@@ -726,7 +726,7 @@
 
 void flow_cell::release(instant now)
 {
-    if (acting_ || (!is_settled() && now - stop_planned_at_ < stop_settle_most)) {
+    if (acting_ || (!is_settled() && now - stop_planned_at_ < stop_drain_timeout)) {
         return;
     }
     wire::flow_cell_row wanted = row_;
@@ -762,12 +762,12 @@
 
 // --- jobs that wait ---
 
-std::optional<dated_count> flow_cell::count_pending(instant now) const
+std::optional<timestamped_count> flow_cell::count_pending(instant now) const
 {
     if (!jobs_known() || !may_hold(now)) {
         return std::nullopt;
     }
-    dated_count counted{{{}, watched_}, watched_at_, {}};
+    timestamped_count counted{{{}, watched_}, watched_at_, {}};
     for (const auto& [id, job] : jobs_) {
         if (job->is_home_cell() && !job->begun() && !job->cancelled() && !job->ended()) {
             ++(job->accepted_at() <= watched_ ? counted.count.jobs : counted.newer)[job->row().queue];
--- a/src/flow_cell_p.h
+++ b/src/flow_cell_p.h
@@ -18,9 +18,9 @@
 #include "flow_limits_p.h"
 #include "flow_load_p.h"
 #include "flow_metrics_p.h"
-#include "flow_order_p.h"
 #include "flow_pending_p.h"
 #include "flow_place_p.h"
+#include "flow_urgency_p.h"
 #include "place_crash_p.h"
 
 namespace skylarkhub {
@@ -58,7 +58,7 @@
     // The share of the processors of a service, in all cells heard of, that tasks take which do not fill.
     std::function<double(instant, const std::string& service)> share_in_use;
     // A row that the owner of another cell must know.
-    std::function<void(instant, const job_row_name&, const wire::flow_job_row&, row_version)> tell_cell;
+    std::function<void(instant, const job_row_name&, const wire::flow_job_row&, row_version)> notify_cell_owner;
     // What is known of the jobs that wait in a cell whose rows are not read yet.
     std::function<std::optional<pending_count>(const cell_id&)> heard_count;
     // The table has answered nobody that this entry hears from since `since`, and it hears from most entries.
@@ -127,20 +127,20 @@
     // The table has discarded changes that were not seen here.
     void on_job_history_gone(instant now);
     // Carries out what the events since the last call have made due. Called after every event.
-    void settle(instant now);
+    void run_deferred_work(instant now);
     // A planned stop: nothing more is started, what is known is written, the row is released.
     void plan_stop(instant now);
     bool stopped() const { return (role_ == role::released && !acting_) || role_ == role::watching; }
 
     // What peers are told; only of an owner.
     wire::flow_cell_news news(instant now) const;
-    // The same for a hello: made anew every news_kept only, with presses in some of them.
+    // The same for a hello: made anew every news_cache_ttl only, with presses in some of them.
     const wire::flow_cell_news& told_news(instant now);
     // What the owner of another cell has learned of images.
     void hint_presses(const std::map<std::string, double>& presses);
     // The jobs that wait here. Empty while the rows are read, and when this owner may have been followed without
     // knowing.
-    std::optional<dated_count> count_pending(instant now) const;
+    std::optional<timestamped_count> count_pending(instant now) const;
     // Bound to this cell and not ended; null when unknown.
     const flow_job* find_job(const job_id& job) const;
 
@@ -426,7 +426,7 @@
     // `near`: the rack where the rest of a gang is; invalid: none. `patience`: how long filling work waits for a place
     // that bears it.
     cell_worker* choose(instant now, const flow_job& job, const flow_stage& stage, const flow_task& task,
-                        const rack_id& near = rack_id(), duration patience = flow_limits::fill_patience);
+                        const rack_id& near = rack_id(), duration patience = flow_limits::fill_interference_wait);
     duration patience_of(instant now, const flow_job& job, const flow_task& task) const;
     static bool takes_starts(instant now, const cell_worker& w);
     placement_candidate option_of(instant now, const cell_worker& w) const;
--- a/src/flow_cell_pace.cpp
+++ b/src/flow_cell_pace.cpp
@@ -295,7 +295,7 @@
         const auto found = jobs_.find(task.job);
         flow_task* const t = found == jobs_.end() ? nullptr : found->second->find_task(task);
         if (t == nullptr || t->runs.size() != 1 || t->runs.front().stopping || !t->runs.front().confirmed ||
-            now - t->runs.front().sent < evict_after) {
+            now - t->runs.front().sent < evict_cooldown) {
             continue;
         }
         const flow_stage& stage = *found->second->find_stage(task);
--- a/src/flow_cell_placing.cpp
+++ b/src/flow_cell_placing.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void flow_cell::settle(instant now)
+void flow_cell::run_deferred_work(instant now)
 {
     if (place_planned_) {
         place_planned_ = false;
@@ -36,7 +36,7 @@
     drop_ready(job.id());
     if (any) {
         const flow_queue* const queue = hooks_.queue(queue_id(job.row().queue));
-        const ready_key key{urgency_of(job, queue, edges_.wall()), job.id()};
+        const ready_key key{compute_urgency(job, queue, edges_.wall()), job.id()};
         ready_.insert(key);
         ready_keys_.emplace(job.id(), key);
     }
@@ -70,7 +70,7 @@
     }
     // An entry that owns nothing looks at the list seldom: what it knows when it takes a cell over may be so old that
     // it would start tasks on workers that have said long ago that they leave. The entry asks for the list at once.
-    if (!listed_since_taken_ && now - taken_at_ < list_wait_most) {
+    if (!listed_since_taken_ && now - taken_at_ < list_wait_timeout) {
         return;
     }
     alone_waits_ = false;
@@ -205,9 +205,9 @@
 // gets on at whatever pace is borne.
 duration flow_cell::patience_of(instant now, const flow_job& job, const flow_task& task) const
 {
-    const bool missed = now - task.ready_since >= fill_patience_idle && !job.running() &&
-                        hooks_.share_in_use(now, job.row().service_name) < free_site_use;
-    return missed ? fill_patience_idle : fill_patience;
+    const bool missed = now - task.ready_since >= fill_interference_wait_idle && !job.running() &&
+                        hooks_.share_in_use(now, job.row().service_name) < idle_site_use;
+    return missed ? fill_interference_wait_idle : fill_interference_wait;
 }
 
 // True when every ready task of the stage has found a worker.
@@ -231,7 +231,7 @@
             continue;
         }
         const rack_id near = step.same_rack && !chosen.empty() ? chosen.front().second->listing.rack : rack_id();
-        const duration patience = step.filling && chosen.empty() ? patience_of(now, job, task) : fill_patience;
+        const duration patience = step.filling && chosen.empty() ? patience_of(now, job, task) : fill_interference_wait;
         const bool alone = starts_alone(now, step, task);
         cell_worker* const w = alone ? choose_alone(now, job, stage, job.task_id(stage, i))
                                      : choose(now, job, stage, task, near, patience);
@@ -282,7 +282,9 @@
     if (step.lasting) {
         w.reserved_until = now; // another one that waits reserves it anew if there is room for two
     }
-    const task_kind kind = step.lasting ? task_kind::lasting : step.filling ? task_kind::filling : task_kind::brief;
+    const task_kind kind = step.lasting   ? task_kind::lasting
+                           : step.filling ? task_kind::filling
+                                          : task_kind::short_lived;
     stats_.waits[static_cast<std::size_t>(kind)].add(now - task.ready_since);
     edges_.note(log_level::info, "run", "placed",
                 {{"job", id.job.str()},
--- a/src/flow_cell_runs.cpp
+++ b/src/flow_cell_runs.cpp
@@ -171,7 +171,7 @@
         live->sent = now;
         return;
     case order_result::no_answer:
-        if (now - live->sent > gang_start_most && job->step(*job->find_stage(task)).gang) {
+        if (now - live->sent > gang_start_timeout && job->step(*job->find_stage(task)).gang) {
             stop_gang(now, *job, *job->find_stage(task), run);
         }
         edges_.after(start_retry, [this, id, task, run, tries, life = life_](instant then) {
@@ -189,7 +189,7 @@
     case order_result::invalid:
         break;
     }
-    w.no_starts_until = now + unhealthy_pause;
+    w.no_starts_until = now + start_backoff;
     if (answer.result == order_result::unhealthy) {
         distrust(now, w, 0.5);
     }
@@ -610,7 +610,7 @@
 void flow_cell::tell_others(instant now, const committed_row& written, row_version version)
 {
     for (const cell_id& cell : written.told) {
-        hooks_.tell_cell(now, {cell, written.job, id_.str()}, written.news_for(cell), version);
+        hooks_.notify_cell_owner(now, {cell, written.job, id_.str()}, written.news_for(cell), version);
     }
 }
 
@@ -740,7 +740,7 @@
         }
         wire::flow_pool_row& pool = pools[w.listing.service];
         pool.service_name = w.listing.service;
-        if (!w.fenced || w.silent >= silent_holds_most) {
+        if (!w.fenced || w.silent >= max_unanswered_holds) {
             continue;
         }
         const std::int64_t free = w.listing.room.cpu_millis - w.held.cpu_millis;
@@ -799,14 +799,14 @@
 
 const wire::flow_cell_news& flow_cell::told_news(instant now)
 {
-    if (told_news_life_ != life_ + 1 || told_news_at_ + news_kept <= now) {
+    if (told_news_life_ != life_ + 1 || told_news_at_ + news_cache_ttl <= now) {
         told_news_ = news(now);
         told_news_at_ = now;
         told_news_life_ = life_ + 1;
         if (now - presses_told_from_ >= presses_interval) {
             presses_told_from_ = now;
         }
-        if (now - presses_told_from_ > presses_told_for) {
+        if (now - presses_told_from_ > presses_report_window) {
             told_news_.presses.clear();
         }
     }
--- a/src/flow_cell_workers.cpp
+++ b/src/flow_cell_workers.cpp
@@ -319,12 +319,12 @@
     }
     if (answer.result != order_result::accepted) {
         if (w.silent == 0) {
-            w.unanswered_since = std::min(now, sent + wait + answer_time_most);
+            w.unanswered_since = std::min(now, sent + wait + worker_answer_timeout);
             note_silence(now, w);
         }
         ++w.silent;
         ++stats_.holds_unanswered;
-        if (w.silent == silent_holds_most) {
+        if (w.silent == max_unanswered_holds) {
             edges_.note(log_level::warning, "worker", "silent",
                         {{"cell", id_.str()}, {"worker", id.str()}, {"reason", answer.reason}});
         }
@@ -344,7 +344,7 @@
         next_renewal_ = w.told_silent ? now : next_renewal_; // as below
         // Its clock was not known before, so this exchange gave no lease: owners that follow each other within a second
         // would let all that runs there lapse.
-        hold_soon(now, id, first_reading ? hold_gap : hold_wait);
+        hold_soon(now, id, first_reading ? min_hold_interval : hold_wait);
         return;
     }
     take_inventory(now, w, sent, answer);
@@ -358,7 +358,9 @@
         return;
     }
     const bool all_told = again->second.unconfirmed.empty() && again->second.unknown.empty();
-    const duration gap = is_watched(now, again->second) ? alone_hold_gap : all_told ? hold_gap : hold_gap_unconfirmed;
+    const duration gap = is_watched(now, again->second) ? solo_hold_interval
+                         : all_told                     ? min_hold_interval
+                                                        : min_hold_interval_unconfirmed;
     hold_soon(now, id, sent + gap - now);
 }
 
@@ -556,7 +558,7 @@
     }
     cells.erase(id_.str());
     for (const std::string& cell : cells) {
-        hooks_.tell_cell(now, {cell_id(cell), job, id_.str()}, index, newest);
+        hooks_.notify_cell_owner(now, {cell_id(cell), job, id_.str()}, index, newest);
     }
     put_away_[job] = now;
     remove_rows(now, job, keys_of(rows));
--- a/src/flow_cells.cpp
+++ b/src/flow_cells.cpp
@@ -230,7 +230,7 @@
     edges_.watch({news_table, *known, duration(0)},
                  [this, asked = now, after = *known](instant then, const store_page& page) {
                      watching_jobs_ = false;
-                     if (page.history_gone) {
+                     if (page.history_compacted) {
                          for (auto& [id, cell] : cells_) {
                              cell->on_job_history_gone(then);
                          }
@@ -305,7 +305,7 @@
             news_reading_.unread.emplace_back(id, cell_rows(news_table, id, job_part(part)));
         }
     }
-    for (int i = 0; i < job_readers; ++i) {
+    for (int i = 0; i < job_read_concurrency; ++i) {
         read_next_news(now);
     }
 }
@@ -389,22 +389,22 @@
         workers.merge(count_workers(known.layout, known.listed));
     }
     std::map<entry_id, std::int64_t> owned;
-    std::vector<deal_cell> cells;
+    std::vector<ranking_cell> cells;
     bool all_owned = true;
     for (const auto& [id, cell] : cells_) {
-        deal_cell c{id, cell_places_.at(id), workers[id], live_owner(now, id, *cell)};
+        ranking_cell c{id, cell_places_.at(id), workers[id], live_owner(now, id, *cell)};
         owned[c.owner] += c.workers;
         all_owned = all_owned && c.owner.valid();
         cells.push_back(std::move(c));
     }
-    std::vector<deal_entry> entries;
+    std::vector<ranking_entry> entries;
     entries.push_back({self_.entry, self_.data_centre, self_.cores, owned[self_.entry]});
     for (const auto& [id, p] : peers_) {
         if (heard(p, now) && !p.leaving) {
             entries.push_back({id, p.identity.data_centre, p.identity.cores, owned[id]});
         }
     }
-    ranks_ = deal_ranks(self_.entry, std::move(entries), cells);
+    ranks_ = rank_for_ownership(self_.entry, std::move(entries), cells);
     // An owner that falls silent is waited for longer than the ranks are old.
     next_ranks_ = all_owned ? now + deal_interval : now;
 }
--- a/src/flow_config.cpp
+++ b/src/flow_config.cpp
@@ -14,7 +14,7 @@
     // After a change the next look only asks whether that was the newest.
     const duration wait = config_just_came_ ? duration(0) : operator_wait;
     config_just_came_ = false;
-    edges_.watch_operator(operator_seen_, wait, [this, asked = now](instant then, const operator_page& page) {
+    edges_.watch_operator(operator_seen_, wait, [this, asked = now](instant then, const operator_update& page) {
         if (page.reached) {
             table_answered_ = then;
             // What came is the newest as of when it was sent: a large change takes its time over a narrow link.
@@ -22,7 +22,7 @@
             config_just_came_ = page.config.has_value();
             operator_answered_ = true;
             operator_failures_ = 0;
-            operator_seen_ = page.history_gone ? row_version(0) : std::max(operator_seen_, page.version);
+            operator_seen_ = page.history_compacted ? row_version(0) : std::max(operator_seen_, page.version);
             if (page.config) {
                 take_config(then, *page.config, page.config_text, "table");
             }
@@ -59,7 +59,7 @@
     judge_config(now);
 }
 
-settings_version flow_entry::newest_config(instant now) const
+settings_version flow_entry::newest_config_version(instant now) const
 {
     settings_version newest = config_version();
     for (const auto& [id, p] : peers_) {
@@ -75,7 +75,8 @@
 // that there is no newer one.
 bool flow_entry::knows_newest_config(instant now) const
 {
-    return config_usable_ && newest_config(now) <= config_version() && now - config_newest_at_ < config_told_fresh;
+    return config_usable_ && newest_config_version(now) <= config_version() &&
+           now - config_newest_at_ < config_told_fresh;
 }
 
 void flow_entry::note_config(instant now, peer& p, settings_version version)
@@ -95,7 +96,7 @@
 // a restart as callers see it. With an older one only while the table is away and nobody it hears has a newer one.
 void flow_entry::judge_config(instant now)
 {
-    const bool newest = newest_config(now) <= config_version();
+    const bool newest = newest_config_version(now) <= config_version();
     if (newest) {
         behind_since_.reset();
         copy_sources_.clear();
@@ -143,11 +144,11 @@
     ask.offset = copy_.offset();
     wire::flow_message message;
     message.__set_config_ask(ask);
-    edges_.tell(peers_.at(source).identity.address, message,
-                [this, source, now](instant then, const std::optional<wire::flow_message>& answer) {
-                    copying_ = false;
-                    on_config_piece(then, source, then - now, answer);
-                });
+    edges_.send_message(peers_.at(source).identity.address, message,
+                        [this, source, now](instant then, const std::optional<wire::flow_message>& answer) {
+                            copying_ = false;
+                            on_config_piece(then, source, then - now, answer);
+                        });
 }
 
 void flow_entry::on_config_piece(instant now, const entry_id& source, duration took,
@@ -214,7 +215,7 @@
                 {{"host", request.host},
                  {"path", request.path},
                  {"version", std::to_string(config_version().value())},
-                 {"newest", std::to_string(newest_config(now).value())}});
+                 {"newest", std::to_string(newest_config_version(now).value())}});
 }
 
 } // namespace skylarkhub
--- a/src/flow_demand.cpp
+++ b/src/flow_demand.cpp
@@ -18,7 +18,7 @@
 
 double kept_after(duration d)
 {
-    return std::exp(-seconds(d) / seconds(demand_memory));
+    return std::exp(-seconds(d) / seconds(demand_window));
 }
 
 } // namespace
@@ -26,13 +26,13 @@
 void batch_demand::note(instant now, duration age, double cpu_seconds)
 {
     level_ *= kept_after(now - noted_);
-    level_ += cpu_seconds / seconds(demand_memory) * kept_after(std::max(age, duration(0)));
+    level_ += cpu_seconds / seconds(demand_window) * kept_after(std::max(age, duration(0)));
     noted_ = now;
 }
 
 std::int64_t batch_demand::cpu_millis(instant now, instant begun, std::int64_t room) const
 {
-    const double unseen = demand_unseen * static_cast<double>(room) * kept_after(now - begun);
+    const double unseen = default_demand_share * static_cast<double>(room) * kept_after(now - begun);
     return static_cast<std::int64_t>(level_ * kept_after(now - noted_) + unseen);
 }
 
@@ -50,10 +50,10 @@
 double batch_reserve(std::int64_t demand_cpu_millis, std::int64_t total_cpu_millis)
 {
     if (total_cpu_millis <= 0) {
-        return ending_reserve_least;
+        return min_batch_reserve;
     }
     const double share = static_cast<double>(demand_cpu_millis) / static_cast<double>(total_cpu_millis);
-    return std::clamp(share, ending_reserve_least, ending_reserve_most);
+    return std::clamp(share, min_batch_reserve, max_batch_reserve);
 }
 
 } // namespace skylarkhub
--- a/src/flow_demand_p.h
+++ b/src/flow_demand_p.h
@@ -12,8 +12,9 @@
 public:
     // A job accepted `age` ago, all of whose tasks together need `cpu_seconds` (thousandths of a processor x seconds).
     void note(instant now, duration age, double cpu_seconds);
-    // In thousandths of a processor, over the last demand_memory or so. `room`: of the workers that serve it, the same.
-    // At first it is taken for demand_unseen of that; the longer it is watched, since `begun`, the less that counts.
+    // In thousandths of a processor, over the last demand_window or so. `room`: of the workers that serve it, the same.
+    // At first it is taken for default_demand_share of that; the longer it is watched, since `begun`, the less that
+    // counts.
     std::int64_t cpu_millis(instant now, instant begun, std::int64_t room) const;
 
 private:
--- a/src/flow_edges_p.h
+++ b/src/flow_edges_p.h
@@ -13,9 +13,9 @@
 namespace skylarkhub {
 
 // What the operator has written since some version.
-struct operator_page {
+struct operator_update {
     bool reached = false;
-    bool history_gone = false;
+    bool history_compacted = false;
     row_version version;
     std::optional<flow_config> config; // empty when it has not changed
     std::string config_text;           // as the operator wrote it
@@ -33,13 +33,13 @@
     // The peer's own message in return, empty when there was no answer.
     std::function<void(net_address, const wire::flow_message&,
                        std::function<void(instant, std::optional<wire::flow_message>)>)>
-        tell;
+        send_message;
     std::function<void(duration, std::function<void(instant)>)> after;
     std::function<wall_time()> wall;
     // Empty when the platform's list could not be read.
     std::function<void(std::function<void(instant, std::optional<flow_worker_list>)>)> list_workers;
     // `after` 0: everything there is; else waits up to `wait` for a change.
-    std::function<void(row_version after, duration wait, std::function<void(instant, operator_page)>)> watch_operator;
+    std::function<void(row_version after, duration wait, std::function<void(instant, operator_update)>)> watch_operator;
     std::function<std::optional<flow_config>(const std::string& text)> parse_config;
 };
 
--- a/src/flow_entry.cpp
+++ b/src/flow_entry.cpp
@@ -91,7 +91,7 @@
             tell_owner(now, name);
         }
     }
-    if (leaving_ && !untold_left_ && now - stop_planned_at_ >= stop_settle_most) {
+    if (leaving_ && !untold_left_ && now - stop_planned_at_ >= stop_drain_timeout) {
         untold_left_ = true;
         if (!untold_.empty()) {
             edges_.note(log_level::warning, "entry", "leaves_untold",
@@ -124,10 +124,10 @@
     }
 }
 
-void flow_entry::settle(instant now)
+void flow_entry::run_deferred_work(instant now)
 {
     for (auto& [id, cell] : cells_) {
-        cell->settle(now);
+        cell->run_deferred_work(now);
     }
     tell_states();
 }
@@ -179,12 +179,12 @@
     };
     hooks.share_in_use = [this](instant now, const std::string& service) { return share_in_use(now, service); };
     hooks.heard_count = [this](const cell_id& id) -> std::optional<pending_count> {
-        const dated_count* const heard = pending_.find(id);
+        const timestamped_count* const heard = pending_.find(id);
         return heard == nullptr ? std::nullopt : std::optional(heard->count);
     };
     hooks.table_outage = [this](instant now, instant since) { return table_outage(now, since); };
-    hooks.tell_cell = [this](instant now, const job_row_name& name, const wire::flow_job_row& row,
-                             row_version version) { tell_cell(now, name, row, version); };
+    hooks.notify_cell_owner = [this](instant now, const job_row_name& name, const wire::flow_job_row& row,
+                                     row_version version) { notify_cell_owner(now, name, row, version); };
     hooks.state_changed = [this](instant now, const wire::flow_job_row& row, const job_id& job, flow_state state) {
         if (row.accepted_by == self_.address.str()) {
             note_state(now, job, state);
--- a/src/flow_entry_p.h
+++ b/src/flow_entry_p.h
@@ -27,7 +27,7 @@
     std::string path;
     std::optional<flow_spec> spec; // of a submit; empty when the body was no such thing
     std::string problem;           // why not
-    duration patience{0};          // how long the caller waits; 0: not said
+    duration request_timeout{0};   // how long the caller waits; 0: not said
 };
 
 enum class caller_result : std::uint8_t {
@@ -38,15 +38,15 @@
     unknown_queue, // no such queue in the configuration
     unknown_job,
     invalid,
-    not_accepted, // did not run and never will on account of this request
-    try_later,    // not known now; nothing was done
-    unsettled     // the write may be in force or not
+    rejected,       // did not run and never will on account of this request
+    retry_later,    // not known now; nothing was done
+    outcome_unknown // the write may be in force or not
 };
 struct caller_answer {
-    caller_result result = caller_result::try_later;
+    caller_result result = caller_result::retry_later;
     flow_state state = flow_state::queued;
     std::int64_t pending = 0;
-    duration come_back{0}; // 0: not said
+    duration retry_delay{0}; // 0: not said
     std::string reason;
 };
 using caller_reply = std::function<void(caller_answer)>;
@@ -60,7 +60,7 @@
     // Registers the entry and begins to learn; call once.
     void begin(instant now);
     // After every event.
-    void settle(instant now);
+    void run_deferred_work(instant now);
     // Fit to take callers.
     bool ready() const;
     void plan_stop(instant now);
@@ -75,7 +75,7 @@
     const flow_entry_stats& stats() const { return stats_; }
     settings_version config_version() const { return config_ ? config_->version : settings_version(0); }
     // The newest version that this entry or a peer it hears has in force.
-    settings_version newest_config(instant now) const;
+    settings_version newest_config_version(instant now) const;
     const std::map<cell_id, std::unique_ptr<flow_cell>>& cells() const { return cells_; }
     const std::map<rack_id, cell_id>& racks() const { return racks_; }
 
@@ -117,7 +117,7 @@
     // What a caller is told whose job is not taken.
     struct refusal {
         std::string reason;
-        duration come_back{0};
+        duration retry_delay{0};
     };
     // A row that the owner of its cell has not taken note of yet.
     struct untold_row {
@@ -164,7 +164,7 @@
     void note_state(instant now, const job_id& job, flow_state state);
     void cancel(const job_id& job, instant give_up, caller_reply reply);
     void write_cancel(const job_id& job, const cell_id& cell, instant give_up, caller_reply reply);
-    void tell_cell(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
+    void notify_cell_owner(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
     void look_for_earlier_jobs(int part);
     void tell_owner(instant now, const job_row_name& name);
     std::optional<std::pair<cell_id, epoch>> find_room(instant now, const cell_id& from, const std::string& service,
@@ -198,7 +198,7 @@
     void read_entries(instant now);
     void learn(const wire::flow_entry_row& row);
     void tell_peers(instant now, bool everyone);
-    void tell(instant now, peer& p, const wire::flow_message& message);
+    void send_message(instant now, peer& p, const wire::flow_message& message);
     wire::flow_hello hello(instant now, bool with_members);
     static void echo_to(instant now, const peer& p, wire::flow_hello& hello);
     std::optional<instant> sent_after(instant now, const wire::flow_hello& hello) const;
--- a/src/flow_entry_pending.cpp
+++ b/src/flow_entry_pending.cpp
@@ -76,11 +76,11 @@
         }
     }
     for (auto& [cell, count] : counts) {
-        const dated_count* const heard = pending_.find(cell);
+        const timestamped_count* const heard = pending_.find(cell);
         count = heard != nullptr && heard->count.up_to > count.up_to ? heard->count : count;
     }
     std::erase_if(counts, [&](const auto& cell) {
-        const dated_count* const heard = pending_.find(cell.first);
+        const timestamped_count* const heard = pending_.find(cell.first);
         return heard != nullptr && asked - heard->whole_at < watch_interval;
     });
     look_for_accepted(now);
@@ -104,8 +104,8 @@
 
 void flow_entry::on_accepted_seen(instant now, instant asked, row_version after, const store_page& page)
 {
-    if (!page.reached || page.history_gone) {
-        end_pending_reading(now, page.history_gone ? "changes discarded" : page.reason);
+    if (!page.reached || page.history_compacted) {
+        end_pending_reading(now, page.history_compacted ? "changes discarded" : page.reason);
         return;
     }
     std::map<cell_id, pending_count>& counts = pending_reading_.counts;
@@ -157,7 +157,7 @@
 void flow_entry::keep_pending_counts(instant now)
 {
     const bool behind = std::any_of(cells_.begin(), cells_.end(), [this, now](const auto& cell) {
-        const dated_count* const heard = pending_.find(cell.first);
+        const timestamped_count* const heard = pending_.find(cell.first);
         return cell.second->current_role() == flow_cell::role::reading &&
                (heard == nullptr || now - heard->whole_at >= watch_interval);
     });
@@ -204,13 +204,13 @@
                      {"first", missing.cells.empty() ? "none known yet" : missing.cells.front().str()},
                      {"table", table}});
     }
-    question.reply(
-        {caller_result::try_later, flow_state::queued, 0, unavailable_retry, "the jobs of a cell are not counted yet"});
+    question.reply({caller_result::retry_later, flow_state::queued, 0, unavailable_retry,
+                    "the jobs of a cell are not counted yet"});
 }
 
 void flow_entry::note_own_counts(instant now)
 {
-    if (now - own_counts_at_ < news_kept) {
+    if (now - own_counts_at_ < news_cache_ttl) {
         return;
     }
     own_counts_at_ = now;
@@ -227,7 +227,7 @@
 bool flow_entry::counts_all(instant now, instant whole_at) const
 {
     const duration age = now - whole_at;
-    return age < pending_fresh || (age < owner_hold_outage && table_outage(now, whole_at));
+    return age < pending_fresh || (age < ownership_lease_outage && table_outage(now, whole_at));
 }
 
 // A peer that has fallen silent may own a cell that was laid out since the cells were last read. Of one that was never
@@ -255,7 +255,7 @@
 // For a hello: what this entry knows of a cell that it owns.
 void flow_entry::tell_count(instant now, wire::flow_cell_news& news) const
 {
-    const dated_count* const known = pending_.find(cell_id(news.cell));
+    const timestamped_count* const known = pending_.find(cell_id(news.cell));
     if (known != nullptr) {
         news.pending = known->count.jobs;
         news.pending_newer = known->newer;
--- a/src/flow_front.cpp
+++ b/src/flow_front.cpp
@@ -20,7 +20,7 @@
 // To what the configuration does not have, while a newer one may have it.
 caller_answer wait_for_config()
 {
-    return {caller_result::try_later, flow_state::queued, 0, unavailable_retry,
+    return {caller_result::retry_later, flow_state::queued, 0, unavailable_retry,
             "a newer configuration may be on its way"};
 }
 
@@ -61,7 +61,7 @@
 void flow_entry::on_request(instant now, const caller_request& request, caller_reply reply)
 {
     if (!config_) {
-        reply({caller_result::try_later, flow_state::queued, 0, unavailable_retry, "no configuration yet"});
+        reply({caller_result::retry_later, flow_state::queued, 0, unavailable_retry, "no configuration yet"});
         return;
     }
     const flow_queue* const queue = match_queue(request.host, request.path);
@@ -88,8 +88,8 @@
         return;
     }
     const job_id job(rest);
-    const duration patience = request.patience > duration(0) ? request.patience : default_patience;
-    const instant give_up = now + patience - answer_margin;
+    const duration request_timeout = request.request_timeout > duration(0) ? request.request_timeout : default_patience;
+    const instant give_up = now + request_timeout - answer_margin;
     switch (request.verb) {
     case caller_verb::submit:
         submit(now, *queue, job, request, give_up, std::move(reply));
@@ -396,7 +396,7 @@
     if (table_away_ && !relay_peer()) {
         ++stats_.refused;
         edges_.note(log_level::info, "job", "refused", {{"job", job.str()}, {"reason", "table not reached"}});
-        reply({caller_result::try_later, flow_state::queued, 0, why.come_back, why.reason});
+        reply({caller_result::retry_later, flow_state::queued, 0, why.retry_delay, why.reason});
         return;
     }
     edges_.read(index_rows(job), [this, job, why, reply = std::move(reply)](instant, const store_page& page) {
@@ -408,8 +408,8 @@
         ++stats_.refused;
         edges_.note(log_level::info, "job", "refused",
                     {{"job", job.str()}, {"reason", page.reached ? why.reason : "table not reached"}});
-        reply({page.reached ? caller_result::not_accepted : caller_result::unsettled, flow_state::queued, 0,
-               page.reached ? why.come_back : unavailable_retry, why.reason});
+        reply({page.reached ? caller_result::rejected : caller_result::outcome_unknown, flow_state::queued, 0,
+               page.reached ? why.retry_delay : unavailable_retry, why.reason});
     });
 }
 
@@ -443,7 +443,7 @@
                      {"version", std::to_string(result.version.value())},
                      {"config", std::to_string(config_version().value())}});
         answer_accept(now, job, {caller_result::accepted, flow_state::queued, 0, duration(0), ""});
-        tell_cell(now, accepted_row(cell_id(row.cell), job), row, result.version);
+        notify_cell_owner(now, accepted_row(cell_id(row.cell), job), row, result.version);
         return;
     case table_outcome::conflict: {
         // The job is there: accepted before, by this entry (its answer was lost) or through another one.
@@ -451,7 +451,7 @@
         const auto there =
             result.rows.empty() ? std::nullopt : read_flow_row<wire::flow_job_row>(edges_, result.rows.front());
         if (there && there->accept_token == row.accept_token) {
-            tell_cell(now, accepted_row(cell_id(row.cell), job), row, result.rows.front().version);
+            notify_cell_owner(now, accepted_row(cell_id(row.cell), job), row, result.rows.front().version);
         }
         edges_.note(log_level::info, "job", "accepted_before", {{"job", job.str()}});
         answer_accept(now, job, {caller_result::accepted, flow_state::queued, 0, duration(0), ""});
@@ -470,9 +470,9 @@
     }
     edges_.note(log_level::warning, "job", in_doubt ? "accept_unsettled" : "refused",
                 {{"job", job.str()}, {"reason", result.reason}, {"tries", std::to_string(tries + 1)}});
-    ++(in_doubt ? stats_.unsettled : stats_.refused);
+    ++(in_doubt ? stats_.outcome_unknown : stats_.refused);
     answer_accept(now, job,
-                  {in_doubt ? caller_result::unsettled : caller_result::not_accepted, flow_state::queued, 0,
+                  {in_doubt ? caller_result::outcome_unknown : caller_result::rejected, flow_state::queued, 0,
                    unavailable_retry, "the table could not be written"});
 }
 
@@ -497,7 +497,8 @@
     }
 }
 
-void flow_entry::tell_cell(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version)
+void flow_entry::notify_cell_owner(instant now, const job_row_name& name, const wire::flow_job_row& row,
+                                   row_version version)
 {
     untold_row& untold = untold_[name];
     untold.row = row;
@@ -536,17 +537,18 @@
     news.cell = name.cell.str();
     news.writer = name.writer;
     message.rows.push_back(std::move(news));
-    edges_.tell(owner->identity.address, message,
-                [this, name, version = at->second.version](instant, const std::optional<wire::flow_message>& answer) {
-                    const auto row = untold_.find(name);
-                    if (row == untold_.end()) {
-                        return;
-                    }
-                    row->second.telling = false;
-                    if (answer && answer->unknown_jobs.empty() && row->second.version == version) {
-                        untold_.erase(row);
-                    }
-                });
+    edges_.send_message(
+        owner->identity.address, message,
+        [this, name, version = at->second.version](instant, const std::optional<wire::flow_message>& answer) {
+            const auto row = untold_.find(name);
+            if (row == untold_.end()) {
+                return;
+            }
+            row->second.telling = false;
+            if (answer && answer->unknown_jobs.empty() && row->second.version == version) {
+                untold_.erase(row);
+            }
+        });
 }
 
 // The cell that has most left, or for a lasting task where most of its image serves, with a worker that one more task
@@ -664,7 +666,7 @@
         wire::flow_message message;
         message.states = states;
         // A message that is lost costs its job one read of the table, when its caller asks again.
-        edges_.tell(address, message, [](instant, const std::optional<wire::flow_message>&) {});
+        edges_.send_message(address, message, [](instant, const std::optional<wire::flow_message>&) {});
     }
 }
 
@@ -702,7 +704,7 @@
         f.reading = false;
         std::vector<caller_reply> waiting;
         waiting.swap(f.waiting_state);
-        caller_answer answer{caller_result::try_later, f.state, 0, unavailable_retry, "the table could not be read"};
+        caller_answer answer{caller_result::retry_later, f.state, 0, unavailable_retry, "the table could not be read"};
         if (page.reached && page.rows.empty()) {
             answer = {caller_result::unknown_job, flow_state::queued, 0, duration(0), "no such job"};
             if (!f.accepting) {
@@ -747,7 +749,8 @@
                 edges_.after(accept_retry, [this, job, give_up, reply](instant) { cancel(job, give_up, reply); });
                 return;
             }
-            reply({caller_result::try_later, flow_state::queued, 0, unavailable_retry, "the table could not be read"});
+            reply(
+                {caller_result::retry_later, flow_state::queued, 0, unavailable_retry, "the table could not be read"});
             return;
         }
         if (page.rows.empty()) {
@@ -756,7 +759,7 @@
         }
         const auto row = read_index(edges_, page.rows);
         if (!row) {
-            reply({caller_result::try_later, flow_state::queued, 0, unavailable_retry, "row unreadable"});
+            reply({caller_result::retry_later, flow_state::queued, 0, unavailable_retry, "row unreadable"});
             return;
         }
         if (row->cancelled || row->outcome != 0) {
@@ -791,14 +794,14 @@
                 at->second.state = flow_state::cancelled;
             }
             reply({caller_result::cancelled, flow_state::cancelled, 0, duration(0), ""});
-            tell_cell(then, name, row, version);
+            notify_cell_owner(then, name, row, version);
             return;
         }
         if (then + accept_retry < give_up) {
             edges_.after(accept_retry, [this, job, give_up, reply](instant) { cancel(job, give_up, reply); });
             return;
         }
-        reply({caller_result::try_later, flow_state::queued, 0, unavailable_retry, "the table could not be written"});
+        reply({caller_result::retry_later, flow_state::queued, 0, unavailable_retry, "the table could not be written"});
     });
 }
 
--- a/src/flow_layout.cpp
+++ b/src/flow_layout.cpp
@@ -23,7 +23,7 @@
     if (!cells.empty()) {
         return cells.size();
     }
-    return workers <= cell_workers_most ? 1 : static_cast<std::size_t>((workers - 1) / cell_workers_usual) + 1;
+    return workers <= max_cell_workers ? 1 : static_cast<std::size_t>((workers - 1) / cell_workers_usual) + 1;
 }
 
 std::uint64_t draw(const cell_id& cell, const entry_id& entry)
@@ -83,7 +83,7 @@
     for (const rack_id& rack : racks) {
         auto to = std::min_element(cells.begin(), cells.end(),
                                    [](const auto& a, const auto& b) { return a.second < b.second; });
-        if (to->second > 0 && to->second + largest > cell_workers_most) {
+        if (to->second > 0 && to->second + largest > max_cell_workers) {
             std::size_t number = cells.size();
             while (cells.count(name_cell(data_centre, number)) != 0) {
                 ++number;
@@ -106,20 +106,20 @@
     return cells;
 }
 
-std::map<cell_id, int> deal_ranks(const entry_id& self, std::vector<deal_entry> entries,
-                                  const std::vector<deal_cell>& cells)
+std::map<cell_id, int> rank_for_ownership(const entry_id& self, std::vector<ranking_entry> entries,
+                                          const std::vector<ranking_cell>& cells)
 {
     std::map<cell_id, int> ranks;
-    for (const deal_cell& cell : cells) {
-        const auto key = [&](const deal_entry& e) {
+    for (const ranking_cell& cell : cells) {
+        const auto key = [&](const ranking_entry& e) {
             return std::make_tuple(e.data_centre != cell.data_centre,
                                    static_cast<double>(e.workers + cell.workers) / e.cores, draw(cell.cell, e.entry));
         };
         const auto own =
-            std::find_if(entries.begin(), entries.end(), [&](const deal_entry& e) { return e.entry == self; });
-        deal_entry* first = nullptr;
+            std::find_if(entries.begin(), entries.end(), [&](const ranking_entry& e) { return e.entry == self; });
+        ranking_entry* first = nullptr;
         int before = 0;
-        for (deal_entry& e : entries) {
+        for (ranking_entry& e : entries) {
             if (e.entry == cell.owner) {
                 continue;
             }
--- a/src/flow_metrics.cpp
+++ b/src/flow_metrics.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void latency_counts::add(duration latency)
+void latency_buckets::add(duration latency)
 {
     const double seconds = std::max(0.0, std::chrono::duration<double>(latency).count());
     seconds_(seconds);
@@ -25,12 +25,12 @@
     }
 }
 
-std::int64_t latency_counts::count() const
+std::int64_t latency_buckets::count() const
 {
     return static_cast<std::int64_t>(boost::accumulators::count(seconds_));
 }
 
-void latency_counts::write(std::string& page, std::string_view name, std::string_view labels) const
+void latency_buckets::write(std::string& page, std::string_view name, std::string_view labels) const
 {
     const std::string_view comma = labels.empty() ? "" : ",";
     std::int64_t so_far = 0;
@@ -53,7 +53,7 @@
     write_value(page, "jobs_accepted_total", "", stats.accepted);
     write_value(page, "jobs_repeated_total", "", stats.repeated);
     write_value(page, "jobs_refused_total", "", stats.refused);
-    write_value(page, "jobs_unsettled_total", "", stats.unsettled);
+    write_value(page, "jobs_unsettled_total", "", stats.outcome_unknown);
     write_value(page, "cancels_total", "", stats.cancels);
     write_value(page, "state_requests_total", "", stats.states);
     write_value(page, "state_reads_total", "", stats.state_reads);
@@ -84,14 +84,14 @@
     ended("lost", stats.lost);
     write_value(page, "runs_behind_total", labels, stats.behind);
     write_value(page, "runs_moved_total", labels, stats.moved);
-    write_value(page, "tasks_given_away_total", labels, stats.given_away);
+    write_value(page, "tasks_given_away_total", labels, stats.handed_off);
     write_value(page, "commits_total", labels, stats.commits);
     write_value(page, "commits_failed_total", labels, stats.commits_failed);
     write_value(page, "commits_conflicted_total", labels, stats.commits_conflicted);
     write_value(page, "exchanges_total", labels, stats.holds);
     write_value(page, "exchanges_unanswered_total", labels, stats.holds_unanswered);
     write_value(page, "takeovers_total", labels, stats.takeovers);
-    write_value(page, "cells_lost_total", labels, stats.losses);
+    write_value(page, "cells_lost_total", labels, stats.ownership_losses);
     for (std::size_t kind = 0; kind < task_kind_names.size(); ++kind) {
         stats.waits[kind].write(page, "task_wait_seconds",
                                 fmt::format("{},kind=\"{}\"", labels, task_kind_names[kind]));
--- a/src/flow_metrics_p.h
+++ b/src/flow_metrics_p.h
@@ -16,7 +16,7 @@
 namespace skylarkhub {
 
 // Latencies in the buckets of a metrics page. Counts of several entries add up.
-class latency_counts {
+class latency_buckets {
 public:
     // Upper ends in seconds: from an answer out of memory to a job that waited for a whole outage.
     static constexpr std::array<double, 13> bucket_ends{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
@@ -34,7 +34,7 @@
 };
 
 // What kind of task a figure is of.
-enum class task_kind : std::uint8_t { brief, filling, lasting };
+enum class task_kind : std::uint8_t { short_lived, filling, lasting };
 inline constexpr std::array<const char*, 3> task_kind_names{"short", "filling", "lasting"};
 
 // Of the cells that an entry owned since it started.
@@ -47,24 +47,24 @@
     std::int64_t lost = 0;   // runs that ended with their worker
     std::int64_t behind = 0; // runs that had fallen behind and were started again or copied
     std::int64_t moved = 0;  // filling runs moved to where they press on nobody
-    std::int64_t given_away = 0;
+    std::int64_t handed_off = 0;
     std::int64_t commits = 0;
     std::int64_t commits_failed = 0;
     std::int64_t commits_conflicted = 0;
     std::int64_t holds = 0;
     std::int64_t holds_unanswered = 0;
     std::int64_t takeovers = 0;
-    std::int64_t losses = 0;                                  // of a cell to another owner
-    std::array<latency_counts, task_kind_names.size()> waits; // from ready to placed
-    latency_counts job_times;                                 // from accepted to ended, on this entry's wall clock
-    latency_counts start_times; // from sending a start to its worker's yes, retries included
+    std::int64_t ownership_losses = 0;                         // of a cell to another owner
+    std::array<latency_buckets, task_kind_names.size()> waits; // from ready to placed
+    latency_buckets job_times;                                 // from accepted to ended, on this entry's wall clock
+    latency_buckets start_times; // from sending a start to its worker's yes, retries included
 };
 
 struct flow_entry_stats {
     std::int64_t accepted = 0;
     std::int64_t repeated = 0;
     std::int64_t refused = 0;
-    std::int64_t unsettled = 0;
+    std::int64_t outcome_unknown = 0;
     std::int64_t cancels = 0;
     std::int64_t states = 0;
     std::int64_t state_reads = 0;
@@ -78,7 +78,7 @@
     std::int64_t peers_unanswered = 0;         // exchanges with peers
     std::int64_t unusable_entries = 0;         // of the list of workers, as read last
     std::int64_t unusable_entries_noticed = 0; // newly unusable, or for another reason than before
-    latency_counts accept_times;               // from the caller's request to the answer, refusals included
+    latency_buckets accept_times;              // from the caller's request to the answer, refusals included
 };
 
 // A counter, or a gauge whose name does not end in _total; `labels` as above.
--- a/src/flow_peers.cpp
+++ b/src/flow_peers.cpp
@@ -116,7 +116,7 @@
         // One exchange tells both sides, so of two that know each other one begins.
         if (everyone || !heard(p, now) || self_.entry < id) {
             echo_to(now, p, message.hello);
-            tell(now, p, message);
+            send_message(now, p, message);
         }
     }
 }
@@ -138,13 +138,13 @@
     return of_this_life ? std::optional(sent) : std::nullopt;
 }
 
-void flow_entry::tell(instant now, peer& p, const wire::flow_message& message)
+void flow_entry::send_message(instant now, peer& p, const wire::flow_message& message)
 {
     if (p.telling) {
         return;
     }
     p.telling = true;
-    edges_.tell(
+    edges_.send_message(
         p.identity.address, message,
         [this, id = p.identity.entry, asked = now](instant then, const std::optional<wire::flow_message>& answer) {
             const auto at = peers_.find(id);
--- a/src/flow_pending.cpp
+++ b/src/flow_pending.cpp
@@ -14,7 +14,7 @@
     return at == counts.end() ? 0 : at->second;
 }
 
-std::int32_t jobs_of(const dated_count& heard, const queue_id& queue)
+std::int32_t jobs_of(const timestamped_count& heard, const queue_id& queue)
 {
     return jobs_of(heard.count.jobs, queue) + jobs_of(heard.newer, queue);
 }
@@ -37,7 +37,7 @@
     return pending_count{row.pending, row_version(row.up_to)};
 }
 
-void pending_counts::hear(const cell_id& cell, const dated_count& heard)
+void pending_counts::hear(const cell_id& cell, const timestamped_count& heard)
 {
     const auto [at, added] = heard_.try_emplace(cell, heard);
     if (!added && heard.whole_at >= at->second.whole_at) {
@@ -45,7 +45,7 @@
     }
 }
 
-const dated_count* pending_counts::find(const cell_id& cell) const
+const timestamped_count* pending_counts::find(const cell_id& cell) const
 {
     const auto at = heard_.find(cell);
     return at == heard_.end() ? nullptr : &at->second;
--- a/src/flow_pending_p.h
+++ b/src/flow_pending_p.h
@@ -24,7 +24,7 @@
 std::optional<pending_count> from_row(const wire::flow_pending_row& row);
 
 // A count and the time until when it has all jobs that were accepted, on the clock of who keeps it.
-struct dated_count {
+struct timestamped_count {
     pending_count count;
     instant whole_at{};
     std::map<std::string, std::int32_t> newer{}; // jobs that were accepted after `count.up_to` and are known already
@@ -39,9 +39,9 @@
 // the same as none.
 class pending_counts {
 public:
-    void hear(const cell_id& cell, const dated_count& heard);
+    void hear(const cell_id& cell, const timestamped_count& heard);
     // Null when none was heard of.
-    const dated_count* find(const cell_id& cell) const;
+    const timestamped_count* find(const cell_id& cell) const;
     // The jobs of a queue in all `cells`, and in others heard of. `new_enough` judges the time until when a count is
     // whole.
     std::variant<std::int64_t, counts_missing> count(const queue_id& queue, std::vector<cell_id> cells,
@@ -50,7 +50,7 @@
     std::string parts(const queue_id& queue, instant now) const;
 
 private:
-    std::map<cell_id, dated_count> heard_;
+    std::map<cell_id, timestamped_count> heard_;
 };
 
 } // namespace skylarkhub
--- a/src/flow_relay.cpp
+++ b/src/flow_relay.cpp
@@ -206,18 +206,18 @@
     }
     wire::flow_message message;
     message.__set_commit(to_wire(transaction));
-    direct_.tell(*helper, message,
-                 [done = std::move(done)](instant then, const std::optional<wire::flow_message>& answer) {
-                     store_result result;
-                     result.reason = "no answer from a peer asked for it";
-                     if (answer && answer->__isset.relayed) {
-                         result.outcome = static_cast<table_outcome>(answer->relayed.outcome);
-                         result.version = row_version(answer->relayed.version);
-                         result.rows = rows_of(answer->relayed.rows);
-                         result.reason = answer->relayed.reason;
-                     }
-                     done(then, result);
-                 });
+    direct_.send_message(*helper, message,
+                         [done = std::move(done)](instant then, const std::optional<wire::flow_message>& answer) {
+                             store_result result;
+                             result.reason = "no answer from a peer asked for it";
+                             if (answer && answer->__isset.relayed) {
+                                 result.outcome = static_cast<table_outcome>(answer->relayed.outcome);
+                                 result.version = row_version(answer->relayed.version);
+                                 result.rows = rows_of(answer->relayed.rows);
+                                 result.reason = answer->relayed.reason;
+                             }
+                             done(then, result);
+                         });
 }
 
 void flow_entry::read(store_range range, std::function<void(instant, store_page)> done)
@@ -237,19 +237,19 @@
     asked.from_key = range.from;
     asked.to_key = range.to;
     message.__set_lookup(asked);
-    direct_.tell(*helper, message,
-                 [done = std::move(done)](instant then, const std::optional<wire::flow_message>& answer) {
-                     store_page page;
-                     page.reason = "no answer from a peer asked for it";
-                     if (answer && answer->__isset.relayed) {
-                         page.reached = answer->relayed.reached;
-                         page.more = answer->relayed.more;
-                         page.version = row_version(answer->relayed.version);
-                         page.rows = rows_of(answer->relayed.rows);
-                         page.reason = answer->relayed.reason;
-                     }
-                     done(then, page);
-                 });
+    direct_.send_message(*helper, message,
+                         [done = std::move(done)](instant then, const std::optional<wire::flow_message>& answer) {
+                             store_page page;
+                             page.reason = "no answer from a peer asked for it";
+                             if (answer && answer->__isset.relayed) {
+                                 page.reached = answer->relayed.reached;
+                                 page.more = answer->relayed.more;
+                                 page.version = row_version(answer->relayed.version);
+                                 page.rows = rows_of(answer->relayed.rows);
+                                 page.reason = answer->relayed.reason;
+                             }
+                             done(then, page);
+                         });
 }
 
 void flow_entry::serve_commit(const wire::flow_relayed_commit& asked,
--- a/src/flow_types_p.h
+++ b/src/flow_types_p.h
@@ -234,7 +234,7 @@
 };
 struct store_page {
     bool reached = false;
-    bool history_gone = false; // of a watch: read the table anew
+    bool history_compacted = false; // of a watch: read the table anew
     bool more = false;
     row_version version;
     std::vector<store_row> rows;
--- a/src/flow_unusable.cpp
+++ b/src/flow_unusable.cpp
@@ -15,7 +15,7 @@
         }
         known.seen = now;
     }
-    std::erase_if(known_, [now](const auto& at) { return now - at.second.seen > flow_limits::unusable_kept; });
+    std::erase_if(known_, [now](const auto& at) { return now - at.second.seen > flow_limits::unusable_retention; });
     return fresh;
 }
 
--- a/src/flow_order.cpp
+++ b/src/flow_urgency.cpp
@@ -1,4 +1,4 @@
-#include "flow_order_p.h"
+#include "flow_urgency_p.h"
 
 #include <algorithm>
 
@@ -31,12 +31,12 @@
 
 } // namespace
 
-duration chain_left(const flow_job& job)
+duration remaining_critical_path(const flow_job& job)
 {
     return chain_of(job, true);
 }
 
-flow_urgency urgency_of(const flow_job& job, const flow_queue* queue, wall_time wall)
+flow_urgency compute_urgency(const flow_job& job, const flow_queue* queue, wall_time wall)
 {
     flow_urgency urgency;
     urgency.priority = queue != nullptr ? queue->priority : job.row().priority;
@@ -49,7 +49,7 @@
     const auto allowed = static_cast<double>(ms_of(chain_of(job, false))) * queue->slack_factor;
     urgency.due_ms += static_cast<std::int64_t>(allowed) + ms_of(queue->latency_target);
     const std::int64_t now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(wall.time_since_epoch()).count();
-    urgency.late = now_ms + ms_of(chain_left(job)) > urgency.due_ms;
+    urgency.late = now_ms + ms_of(remaining_critical_path(job)) > urgency.due_ms;
     return urgency;
 }
 
--- a/src/flow_order_p.h
+++ b/src/flow_urgency_p.h
@@ -16,13 +16,13 @@
 };
 
 // The estimated time of the longest chain of steps that are not done.
-duration chain_left(const flow_job& job);
+duration remaining_critical_path(const flow_job& job);
 
 // The pattern: jobs of filling work come faster for ten or twenty seconds than the processors that serving tasks leave
 // unused can do them. Served in turn, all of them are a little late; an archive that is late is worth a seventh. So the
 // one that is due first goes first, and one that cannot be in time any more goes after those that can. Work that takes
 // processors of its own goes in the order of acceptance: it hardly ever waits.
 // `queue`: null when the configuration does not have it any more.
-flow_urgency urgency_of(const flow_job& job, const flow_queue* queue, wall_time wall);
+flow_urgency compute_urgency(const flow_job& job, const flow_queue* queue, wall_time wall);
 
 } // namespace skylarkhub
--- a/tests/support_flow_world.cpp
+++ b/tests/support_flow_world.cpp
@@ -186,7 +186,7 @@
         return;
     }
     what(*slot.decisions, now_);
-    slot.decisions->settle(now_);
+    slot.decisions->run_deferred_work(now_);
 }
 
 void flow_world::start_entry(int entry)
@@ -371,7 +371,7 @@
         page.reached = true;
         page.version = row_version(version_);
         if (watch.table == news_table && std::exchange(history_seen_[entry], history_) != history_) {
-            page.history_gone = true;
+            page.history_compacted = true;
             answer(std::move(done), page, options_.table_latency);
             return;
         }
@@ -465,8 +465,9 @@
         look_at_operator(entry, life, after, wait, done);
     };
     edges.parse_config = &read_config_text;
-    edges.tell = [this, entry, life, answer](const net_address& peer, const wire::flow_message& message,
-                                             std::function<void(instant, std::optional<wire::flow_message>)> done) {
+    edges.send_message = [this, entry, life,
+                          answer](const net_address& peer, const wire::flow_message& message,
+                                  std::function<void(instant, std::optional<wire::flow_message>)> done) {
         later(options_.network_latency, [this, entry, life, peer, message, answer, done = std::move(done)] {
             for (int i = 0; i < static_cast<int>(entries_.size()); ++i) {
                 entry_slot& slot = entries_[static_cast<std::size_t>(i)];
@@ -550,9 +551,9 @@
         });
 }
 
-operator_page flow_world::read_operator(row_version after) const
+operator_update flow_world::read_operator(row_version after) const
 {
-    operator_page page;
+    operator_update page;
     page.reached = true;
     page.version = config_row_;
     if (after < config_row_) {
@@ -567,18 +568,18 @@
 {
     const bool first = after == row_version(0);
     const auto over = std::make_shared<bool>(false);
-    const auto end = [this, entry, life, over, done](const operator_page& page) {
+    const auto end = [this, entry, life, over, done](const operator_update& page) {
         if (!std::exchange(*over, true)) {
             on_entry(entry, life, [done, page](flow_entry&, instant now) { done(now, page); });
         }
     };
     if (!table_reached(entry)) {
-        later(first ? duration(10ms) : wait, [end] { end(operator_page{}); });
+        later(first ? duration(10ms) : wait, [end] { end(operator_update{}); });
         return;
     }
     // One that has gone away meanwhile answers nothing.
     const auto answer = [this, entry, after, over, end] {
-        const operator_page page = table_reached(entry) ? read_operator(after) : operator_page{};
+        const operator_update page = table_reached(entry) ? read_operator(after) : operator_update{};
         if (*over || options_.link_bytes_per_s <= 0 || !page.config) {
             end(page);
             return;
@@ -589,7 +590,7 @@
             entry, [over] { return *over; },
             [this, end, transfer] {
                 links_.give_up(transfer);
-                end(operator_page{});
+                end(operator_update{});
             });
     };
     if (first || after < config_row_) {
@@ -1254,7 +1255,7 @@
     const std::size_t before = answers_[job].size();
     send_submit(entry, job, spec, queue);
     run_until([&] { return answers_[job].size() > before; }, 4s);
-    return answers_[job].size() > before ? answers_[job].back() : caller_result::unsettled;
+    return answers_[job].size() > before ? answers_[job].back() : caller_result::outcome_unknown;
 }
 
 caller_result flow_world::cancel(int entry, const std::string& job)
@@ -1277,7 +1278,7 @@
             }
         });
     }
-    return result->value_or(caller_result::unsettled);
+    return result->value_or(caller_result::outcome_unknown);
 }
 
 std::optional<flow_state> flow_world::state(int entry, const std::string& job)
--- a/tests/support_flow_world.h
+++ b/tests/support_flow_world.h
@@ -247,12 +247,12 @@
         int entry = 0;
         std::function<void()> answer;
     };
-    using operator_done = std::function<void(instant, operator_page)>;
+    using operator_done = std::function<void(instant, operator_update)>;
     using tell_done = std::function<void(instant, std::optional<wire::flow_message>)>;
     void look_at_operator(int entry, std::uint64_t life, row_version after, duration wait, const operator_done& done);
     void tell_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
                         const tell_done& done);
-    operator_page read_operator(row_version after) const;
+    operator_update read_operator(row_version after) const;
     void answer_looks();
     void give_up_stalled(int entry, const std::function<bool()>& over, const std::function<void()>& give_up);
     template <class Answer, class Done>
--- a/tests/support_pending.h
+++ b/tests/support_pending.h
@@ -84,9 +84,9 @@
     {
         --open_[entry];
         late_ += world_.now() - asked > told_most ? 1 : 0;
-        if (answer.result == caller_result::try_later) {
+        if (answer.result == caller_result::retry_later) {
             ++refused_;
-            BOOST_TEST(answer.come_back > duration(0));
+            BOOST_TEST(answer.retry_delay > duration(0));
             return;
         }
         BOOST_REQUIRE(answer.result == caller_result::pending);
--- a/tests/test_flow.cpp
+++ b/tests/test_flow.cpp
@@ -299,7 +299,7 @@
     w.run_for(watched_long);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 8000)) == caller_result::accepted);
     w.run_for(1s);
-    BOOST_TEST((w.submit(1, job_b, lasting_spec(2, 8000)) == caller_result::not_accepted));
+    BOOST_TEST((w.submit(1, job_b, lasting_spec(2, 8000)) == caller_result::rejected));
     BOOST_REQUIRE(w.submit(1, "00000000000000cc", chain_spec(1, 2, 8000)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, 1, "00000000000000cc"); }, 1s));
     BOOST_TEST(w.running_of(job_b) == 0);
--- a/tests/test_flow_commit.cpp
+++ b/tests/test_flow_commit.cpp
@@ -305,7 +305,7 @@
     w.run_for(5s);
     BOOST_TEST(w.owners_of("a") == 0);
     BOOST_TEST(w.logged("entry", "jobs_of_an_earlier_release") > 0);
-    BOOST_TEST((w.submit(0, "00000000000000bb", chain_spec(1, 1)) == caller_result::not_accepted));
+    BOOST_TEST((w.submit(0, "00000000000000bb", chain_spec(1, 1)) == caller_result::rejected));
     w.remove_earlier_job(job_a);
     BOOST_TEST(w.run_until([&] { return w.owners_of("a") == 1; }, 15s));
 }
--- a/tests/test_flow_demand.cpp
+++ b/tests/test_flow_demand.cpp
@@ -50,9 +50,9 @@
     // An owner keeps a share free from its first moment, as it can't know yet what comes. It must not refuse watches
     // for ever on behalf of rebuilds that nobody hands in.
     const batch_demand demand;
-    BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::demand_unseen,
+    BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::default_demand_share,
                boost::test_tools::tolerance(1e-6));
-    BOOST_TEST(batch_reserve(demand.cpu_millis(begun + 60s, begun, room), room) == flow_limits::ending_reserve_least);
+    BOOST_TEST(batch_reserve(demand.cpu_millis(begun + 60s, begun, room), room) == flow_limits::min_batch_reserve);
     BOOST_TEST(batch_cpu_seconds(make_job(true)) == 0);
 }
 
@@ -62,8 +62,8 @@
     for (int i = 0; i < 1000; ++i) {
         demand.note(begun, 0ms, 100'000);
     }
-    BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::ending_reserve_most);
-    BOOST_TEST(batch_reserve(5, 0) == flow_limits::ending_reserve_least); // no worker is known
+    BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::max_batch_reserve);
+    BOOST_TEST(batch_reserve(5, 0) == flow_limits::min_batch_reserve); // no worker is known
 }
 
 BOOST_AUTO_TEST_CASE(a_follower_counts_jobs_by_their_age)
--- a/tests/test_flow_knows_nothing.cpp
+++ b/tests/test_flow_knows_nothing.cpp
@@ -64,9 +64,9 @@
                                                         {caller_result::unknown_queue, "unknown_queue"},
                                                         {caller_result::unknown_job, "unknown_job"},
                                                         {caller_result::invalid, "invalid"},
-                                                        {caller_result::not_accepted, "not_accepted"},
-                                                        {caller_result::try_later, "try_later"},
-                                                        {caller_result::unsettled, "unsettled"}};
+                                                        {caller_result::rejected, "not_accepted"},
+                                                        {caller_result::retry_later, "try_later"},
+                                                        {caller_result::outcome_unknown, "unsettled"}};
 
 caller_request make_request(caller_verb verb, const std::string& queue, const std::string& job)
 {
@@ -270,7 +270,7 @@
             q.answer = answer.result;
             q.reason = answer.reason;
         });
-        asked->settle(world_.now());
+        asked->run_deferred_work(world_.now());
     }
 
     static flow_spec make_spec() { return chain_spec(1, 1, 100); }
@@ -288,7 +288,7 @@
     // Empty: true, or could be.
     std::string find_untruth(const asked_question& q) const
     {
-        if (!q.answer || *q.answer == caller_result::try_later || *q.answer == caller_result::unsettled) {
+        if (!q.answer || *q.answer == caller_result::retry_later || *q.answer == caller_result::outcome_unknown) {
             return "";
         }
         const bool of_accepted =
@@ -297,7 +297,7 @@
                            (of_accepted && *q.answer == caller_result::unknown_job) ||
                            ((q.what == question::state_never || q.what == question::state_new_queue) &&
                             *q.answer != caller_result::unknown_job) ||
-                           (*q.answer == caller_result::not_accepted && world_.starts_of(q.job) > 0) ||
+                           (*q.answer == caller_result::rejected && world_.starts_of(q.job) > 0) ||
                            (!of_accepted && *q.answer == caller_result::accepted && world_.starts_of(q.job) == 0);
         return wrong ? fmt::format("{}: {} ({}) at entry {}, up for {} ms, {}", question_names.at(q.what),
                                    result_names.at(*q.answer), q.reason, q.entry, q.age / 1ms,
@@ -449,7 +449,7 @@
     w.cut_entry_from_table(0, true);
     w.run_for(2s);
     w.write_config({"q", "added"}, 2 * large_config);
-    BOOST_REQUIRE(w.run_until([&] { return w.entry(0)->newest_config(w.now()) == settings_version(2); }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.entry(0)->newest_config_version(w.now()) == settings_version(2); }, 5s));
     for (int entry = 1; entry < 4; ++entry) {
         w.kill_entry(entry);
     }
@@ -497,7 +497,7 @@
     w.cut_entry_from_table(0, true);
     w.run_for(2s);
     w.write_config({"q", "q/inner"}, 2 * large_config);
-    BOOST_REQUIRE(w.run_until([&] { return w.entry(0)->newest_config(w.now()) == settings_version(2); }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.entry(0)->newest_config_version(w.now()) == settings_version(2); }, 5s));
     BOOST_REQUIRE((w.entry(0)->config_version() == settings_version(1)));
     BOOST_TEST((w.submit(0, job_a, chain_spec(1, 1), "q/inner") != caller_result::invalid));
     check_no_faults(w);
@@ -526,9 +526,9 @@
     flow_world w({.entries_each = 4});
     w.run_for(8s);
     w.entry(0)->plan_stop(w.now());
-    w.entry(0)->settle(w.now());
+    w.entry(0)->run_deferred_work(w.now());
     BOOST_REQUIRE((w.submit(1, job_a, chain_spec(1, 1)) == caller_result::accepted));
-    BOOST_TEST((w.submit(0, job_a, chain_spec(1, 1)) != caller_result::not_accepted));
+    BOOST_TEST((w.submit(0, job_a, chain_spec(1, 1)) != caller_result::rejected));
     w.run_for(3s);
     BOOST_TEST(w.starts_of(job_a) == 1);
     check_no_faults(w);
@@ -656,7 +656,7 @@
             const auto since = started_.find(entry);
             e->on_request(
                 world_.now(), make_request(caller_verb::state, "later", ""), [&](const caller_answer& answer) {
-                    come_back_ += answer.result == caller_result::try_later ? 1 : 0;
+                    come_back_ += answer.result == caller_result::retry_later ? 1 : 0;
                     refused_ += answer.result == caller_result::unknown_queue ? 1 : 0;
                     if (answer.result == caller_result::unknown_queue) {
                         last_ = t;
@@ -664,10 +664,10 @@
                         first_ =
                             !first_.empty()
                                 ? first_
-                                : fmt::format("by entry {} at {} ms, up since {} ms, version {}, newest heard of {}",
-                                              entry, t / 1ms,
-                                              since == started_.end() ? -1 : (since->second - begun_) / 1ms,
-                                              e->config_version().value(), e->newest_config(world_.now()).value());
+                                : fmt::format(
+                                      "by entry {} at {} ms, up since {} ms, version {}, newest heard of {}", entry,
+                                      t / 1ms, since == started_.end() ? -1 : (since->second - begun_) / 1ms,
+                                      e->config_version().value(), e->newest_config_version(world_.now()).value());
                     }
                 });
         }
--- a/tests/test_flow_layout.cpp
+++ b/tests/test_flow_layout.cpp
@@ -104,27 +104,28 @@
         BOOST_TEST((after.at(rack).cell == laid.cell));
     }
     for (const auto& [cell, workers] : count_workers(after, listed)) {
-        BOOST_TEST(workers <= flow_limits::cell_workers_most);
+        BOOST_TEST(workers <= flow_limits::max_cell_workers);
     }
     BOOST_TEST((from_row(to_row(after)).at(rack_id("rack-07")).cell == after.at(rack_id("rack-07")).cell));
 }
 
 BOOST_AUTO_TEST_CASE(free_cells_are_dealt_by_cores)
 {
-    const std::vector<deal_entry> entries{
+    const std::vector<ranking_entry> entries{
         {entry_id("e1"), here, 0.07, 0}, {entry_id("e2"), here, 0.5, 0}, {entry_id("e3"), data_centre_id("b"), 4, 0}};
-    const std::vector<deal_cell> cells{{cell_id("a"), here, 24, {}}, {cell_id("a.1"), here, 24, {}}};
-    for (const auto& [cell, rank] : deal_ranks(entry_id("e2"), entries, cells)) {
+    const std::vector<ranking_cell> cells{{cell_id("a"), here, 24, {}}, {cell_id("a.1"), here, 24, {}}};
+    for (const auto& [cell, rank] : rank_for_ownership(entry_id("e2"), entries, cells)) {
         BOOST_TEST(rank == 0); // 48 workers on 0.5 core are less each than 24 on 0.07
     }
-    for (const auto& [cell, rank] : deal_ranks(entry_id("e1"), entries, cells)) {
+    for (const auto& [cell, rank] : rank_for_ownership(entry_id("e1"), entries, cells)) {
         BOOST_TEST(rank == 1);
     }
-    for (const auto& [cell, rank] : deal_ranks(entry_id("e3"), entries, cells)) {
+    for (const auto& [cell, rank] : rank_for_ownership(entry_id("e3"), entries, cells)) {
         BOOST_TEST(rank == 0); // of those outside
     }
     // Who follows an owner is not the owner.
-    BOOST_TEST(deal_ranks(entry_id("e1"), entries, {{cell_id("a"), here, 24, entry_id("e2")}}).at(cell_id("a")) == 0);
+    BOOST_TEST(
+        rank_for_ownership(entry_id("e1"), entries, {{cell_id("a"), here, 24, entry_id("e2")}}).at(cell_id("a")) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(entries_that_start_together_agree_on_the_cells_and_share_them_out)
--- a/tests/test_flow_list.cpp
+++ b/tests/test_flow_list.cpp
@@ -35,7 +35,7 @@
     BOOST_TEST(known.take(now += 1s, {{worker_id("w"), "room"}}).size() == 1);
     BOOST_TEST(known.take(now += 1s, {}).empty());
     BOOST_TEST(known.take(now += 1s, {{worker_id("w"), "room"}}).empty()); // two writers in turns
-    now += flow_limits::unusable_kept + 1s;
+    now += flow_limits::unusable_retention + 1s;
     BOOST_TEST(known.take(now, {}).empty());
     BOOST_TEST(known.take(now += 1s, {{worker_id("w"), "room"}}).size() == 1);
 }
--- a/tests/test_flow_metrics.cpp
+++ b/tests/test_flow_metrics.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_CASE(buckets_count_everything_up_to_their_end)
 {
-    latency_counts counts;
+    latency_buckets counts;
     counts.add(3ms);
     counts.add(5ms);
     counts.add(200ms);
--- a/tests/test_flow_order.cpp
+++ b/tests/test_flow_order.cpp
@@ -1,7 +1,7 @@
 // Who waits: the order of jobs whose tasks wait for a worker.
 #include <boost/test/unit_test.hpp>
 
-#include "flow_order_p.h"
+#include "flow_urgency_p.h"
 
 using namespace skylarkhub;
 using namespace std::chrono_literals;
@@ -51,7 +51,7 @@
     const flow_queue queue = rebuilds();
     const flow_job wide = make_job("a", 0, 4s, true);
     const flow_job small = make_job("b", 1000, 1s, true);
-    BOOST_TEST((urgency_of(small, &queue, at_ms(1000)) < urgency_of(wide, &queue, at_ms(1000))));
+    BOOST_TEST((compute_urgency(small, &queue, at_ms(1000)) < compute_urgency(wide, &queue, at_ms(1000))));
 }
 
 BOOST_AUTO_TEST_CASE(what_cannot_be_in_time_any_more_goes_after_what_can)
@@ -61,21 +61,21 @@
     const flow_queue queue = rebuilds();
     const flow_job old = make_job("a", 0, 1s, true);      // due at 5 s
     const flow_job young = make_job("b", 2500, 1s, true); // due at 7.5 s
-    BOOST_TEST((urgency_of(old, &queue, at_ms(2500)) < urgency_of(young, &queue, at_ms(2500))));
-    BOOST_TEST(urgency_of(old, &queue, at_ms(4000)).late);
-    BOOST_TEST((urgency_of(young, &queue, at_ms(4000)) < urgency_of(old, &queue, at_ms(4000))));
+    BOOST_TEST((compute_urgency(old, &queue, at_ms(2500)) < compute_urgency(young, &queue, at_ms(2500))));
+    BOOST_TEST(compute_urgency(old, &queue, at_ms(4000)).late);
+    BOOST_TEST((compute_urgency(young, &queue, at_ms(4000)) < compute_urgency(old, &queue, at_ms(4000))));
 }
 
 BOOST_AUTO_TEST_CASE(a_step_that_is_done_is_not_waited_for_again)
 {
     const flow_queue queue = rebuilds();
     flow_job job = make_job("a", 0, 2s, true); // due at 9 s
-    BOOST_TEST((chain_left(job) == duration(4s)));
-    BOOST_TEST(urgency_of(job, &queue, at_ms(6000)).late);
+    BOOST_TEST((remaining_critical_path(job) == duration(4s)));
+    BOOST_TEST(compute_urgency(job, &queue, at_ms(6000)).late);
     job.note_done({job_id("a"), 0, 0, 0});
     job.note_done({job_id("a"), 0, 0, 1});
-    BOOST_TEST((chain_left(job) == duration(2s)));
-    BOOST_TEST(!urgency_of(job, &queue, at_ms(6000)).late);
+    BOOST_TEST((remaining_critical_path(job) == duration(2s)));
+    BOOST_TEST(!compute_urgency(job, &queue, at_ms(6000)).late);
 }
 
 BOOST_AUTO_TEST_CASE(other_work_keeps_the_order_of_acceptance_and_priority_goes_first)
@@ -83,9 +83,9 @@
     flow_queue queue = rebuilds();
     const flow_job first = make_job("a", 0, 4s, false);
     const flow_job second = make_job("b", 1000, 1s, false);
-    BOOST_TEST((urgency_of(first, &queue, at_ms(90'000)) < urgency_of(second, &queue, at_ms(90'000))));
+    BOOST_TEST((compute_urgency(first, &queue, at_ms(90'000)) < compute_urgency(second, &queue, at_ms(90'000))));
     const flow_job filling = make_job("c", 0, 1s, true);
     flow_queue urgent = queue;
     urgent.priority = 0;
-    BOOST_TEST((urgency_of(second, &urgent, at_ms(90'000)) < urgency_of(filling, &queue, at_ms(1000))));
+    BOOST_TEST((compute_urgency(second, &urgent, at_ms(90'000)) < compute_urgency(filling, &queue, at_ms(1000))));
 }
--- a/tests/test_flow_pending_cut.cpp
+++ b/tests/test_flow_pending_cut.cpp
@@ -130,7 +130,7 @@
             break;
         case fault::stopped:
             world_.entry(owner_)->plan_stop(world_.now());
-            world_.entry(owner_)->settle(world_.now());
+            world_.entry(owner_)->run_deferred_work(world_.now());
             break;
         case fault::table_slow:
             world_.set_table_latency(slow_table);
--- a/tests/test_flow_pending_restarts.cpp
+++ b/tests/test_flow_pending_restarts.cpp
@@ -99,7 +99,7 @@
             return;
         }
         world_.entry(entry)->plan_stop(world_.now());
-        world_.entry(entry)->settle(world_.now());
+        world_.entry(entry)->run_deferred_work(world_.now());
         away_[entry] = world_.now() + 3s;
     }
 
--- a/tests/test_flow_restarts_leases.cpp
+++ b/tests/test_flow_restarts_leases.cpp
@@ -93,7 +93,7 @@
             return;
         }
         world_.entry(entry)->plan_stop(world_.now());
-        world_.entry(entry)->settle(world_.now());
+        world_.entry(entry)->run_deferred_work(world_.now());
         away_[entry] = world_.now() + 3s;
     }
 
--- a/tests/test_flow_restarts_news.cpp
+++ b/tests/test_flow_restarts_news.cpp
@@ -229,7 +229,7 @@
                             w.run_for(stopped_after);
                             if (kind == stop_kind::planned) {
                                 w.entry(restarted)->plan_stop(w.now());
-                                w.entry(restarted)->settle(w.now());
+                                w.entry(restarted)->run_deferred_work(w.now());
                                 back[restarted] = w.now() + 3s;
                             }
                             else {
--- a/tests/test_flow_restarts_runs.cpp
+++ b/tests/test_flow_restarts_runs.cpp
@@ -166,7 +166,7 @@
             return;
         case restart_kind::planned:
             world_.entry(entry)->plan_stop(world_.now());
-            world_.entry(entry)->settle(world_.now());
+            world_.entry(entry)->run_deferred_work(world_.now());
             away_[entry] = world_.now() + 3s;
             return;
         case restart_kind::frozen:
--- a/tests/test_flow_wire.cpp
+++ b/tests/test_flow_wire.cpp
@@ -130,7 +130,7 @@
     BOOST_REQUIRE(read.has_value());
     BOOST_REQUIRE(read->spec.has_value());
     BOOST_TEST(read->host == "h.example");
-    BOOST_TEST(read->patience.count() == 2500000);
+    BOOST_TEST(read->request_timeout.count() == 2500000);
     BOOST_TEST(read->spec->steps.at(0).data_rack.str() == "r1-3");
     const flow_step& second = read->spec->steps.at(1);
     BOOST_TEST(second.lasting);
@@ -150,12 +150,12 @@
 BOOST_AUTO_TEST_CASE(answers_to_callers_say_when_to_come_back)
 {
     caller_answer answer;
-    answer.result = caller_result::not_accepted;
-    answer.come_back = std::chrono::milliseconds(1200);
+    answer.result = caller_result::rejected;
+    answer.retry_delay = std::chrono::milliseconds(1200);
     const http_response response = make_response(answer);
     BOOST_TEST(response.status == 503);
     BOOST_TEST(find_field(response.headers, "Retry-After") == "2");
-    answer.result = caller_result::unsettled;
+    answer.result = caller_result::outcome_unknown;
     BOOST_TEST(make_response(answer).status == 504);
     answer.result = caller_result::unknown_job;
     BOOST_TEST(make_response(answer).status == 410);
