--- a/src/flow_cell_commit.cpp
+++ b/src/flow_cell_commit.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void flow_cell::job_changed(instant now, flow_job& job, bool urgent)
+void flow_cell::mark_job_dirty(instant now, flow_job& job, bool urgent)
 {
     const std::string part = job_part(job.id());
     parts_[part].dirty.try_emplace(job.id(), now);
@@ -142,16 +142,16 @@
     }
     ++stats_.commits;
     state.in_flight = true;
-    edges_.commit(std::move(t),
-                  [this, part, rows = std::move(rows), life = life_](instant then, const store_result& result) {
-                      if (life == life_) {
-                          parts_[part].in_flight = false;
-                          on_committed(then, part, rows, result);
-                      }
-                  });
+    edges_.commit(std::move(t), [this, part, rows = std::move(rows),
+                                 life = ownership_generation_](instant then, const store_result& result) {
+        if (life == ownership_generation_) {
+            parts_[part].in_flight = false;
+            on_committed(then, part, rows, result);
+        }
+    });
 }
 
-void flow_cell::remove_rows(instant now, const job_id& id, std::vector<store_key> keys)
+void flow_cell::schedule_row_removal(instant now, const job_id& id, std::vector<store_key> keys)
 {
     part_state& state = parts_[job_part(id)];
     if (state.removable.empty()) {
@@ -205,7 +205,7 @@
                 state.dirty.erase(row.job);
             }
             if (ready_keys_.count(row.job) != 0) {
-                place_soon(); // some of its tasks wait for this write
+                schedule_placement(); // some of its tasks wait for this write
             }
             send_noted(now, job);
             tell_others(now, row, result.version);
@@ -220,7 +220,7 @@
         for (const store_row& row : result.rows) {
             if (is_fence(row.key)) {
                 if (row.version != state.fence) {
-                    lose(now, "a later owner has fenced part " + part);
+                    lose_ownership(now, "a later owner has fenced part " + part);
                     return;
                 }
                 continue;
@@ -299,7 +299,7 @@
 }
 
 // The worker may not be there for the next owner.
-void flow_cell::leave_listed_ends(const order_answer& answer)
+void flow_cell::persist_listed_ends(const order_answer& answer)
 {
     std::map<job_id, std::vector<reported_end>> by_job;
     for (const reported_end& end : answer.ends) {
@@ -314,7 +314,7 @@
 {
     for (const auto& [id, w] : workers_) {
         if (w.early) {
-            leave_listed_ends(w.early->answer);
+            persist_listed_ends(w.early->answer);
         }
     }
     for (const auto& [id, job] : jobs_) {
@@ -346,7 +346,7 @@
         return;
     }
     if (job.is_home_cell()) {
-        hooks_.state_changed(now, job.row(), job.id(), state_of(job.row()));
+        hooks_.publish_job_state(now, job.row(), job.id(), state_of(job.row()));
     }
     if (job.running()) {
         return;
@@ -359,7 +359,7 @@
     for (const std::string& teller : job.known_writers()) {
         keys.push_back(job_row_key({id_, job.id(), teller}));
     }
-    remove_rows(now, job.id(), std::move(keys));
+    schedule_row_removal(now, job.id(), std::move(keys));
     forget_job(now, job.id());
 }
 
--- a/src/flow_cell_crashes.cpp
+++ b/src/flow_cell_crashes.cpp
@@ -29,11 +29,11 @@
     std::vector<lost_run> lost;
     instant newest{};
     for (const auto& [task, run] : w.ledger) {
-        const run_parts parts = locate(w.listing.worker, task, run.run);
+        const run_lookup parts = locate(w.listing.worker, task, run.run);
         newest = parts.live == nullptr ? newest : std::max(newest, parts.live->started);
     }
     for (const auto& [task, run] : w.ledger) {
-        const run_parts parts = locate(w.listing.worker, task, run.run);
+        const run_lookup parts = locate(w.listing.worker, task, run.run);
         if (parts.live == nullptr) {
             continue;
         }
@@ -77,7 +77,7 @@
         return std::nullopt;
     }
     if (matters) {
-        job_changed(now, job, false);
+        mark_job_dirty(now, job, false);
     }
     return crash;
 }
@@ -138,11 +138,11 @@
 // A worker that does not answer may have crashed, or be cut off. Which it was shows when its address is heard of again.
 void flow_cell::remember_lapsed(instant now, const cell_worker& w)
 {
-    std::erase_if(lapsed_, [now](const auto& l) { return now - l.second.at > lapsed_retention; });
+    std::erase_if(lapsed_workers_, [now](const auto& l) { return now - l.second.at > lapsed_retention; });
     if (w.ledger.empty() || w.listing.draining) {
         return;
     }
-    lapsed_life& life = lapsed_[w.listing.address];
+    lapsed_life& life = lapsed_workers_[w.listing.address];
     life = {w.listing.worker, list_lost_runs(w), now};
     // Its tasks are started elsewhere before its next life is heard of.
     for (const lost_run& run : life.runs) {
@@ -160,18 +160,18 @@
 
 void flow_cell::charge_lapsed(instant now, const flow_listed_worker& listing)
 {
-    const auto at = lapsed_.find(listing.address);
-    if (at == lapsed_.end()) {
+    const auto at = lapsed_workers_.find(listing.address);
+    if (at == lapsed_workers_.end()) {
         return;
     }
     if (at->second.worker != listing.worker) {
         charge_runs(now, at->second.worker, at->second.runs);
-        place_soon(); // a job may have to be given up
+        schedule_placement(); // a job may have to be given up
     }
     else {
         forget_lapsed(at->second);
     }
-    lapsed_.erase(at);
+    lapsed_workers_.erase(at);
 }
 
 // It was cut off and has not crashed.
@@ -278,7 +278,7 @@
 flow_cell::cell_worker* flow_cell::choose_alone(instant now, const flow_job& job, const flow_stage& stage,
                                                 const flow_task_id& id)
 {
-    alone_waits_ = true;
+    isolated_task_waits_ = true;
     cell_worker* w = find_kept(now, id);
     const flow_step& step = job.step(stage);
     if (w == nullptr && (step.lasting || step.gang || !is_one_beginning(now, job))) {
--- a/src/flow_cell_drain.cpp
+++ b/src/flow_cell_drain.cpp
@@ -17,7 +17,7 @@
 void flow_cell::vacate_draining(instant now)
 {
     next_vacating_ = now + drain_interval;
-    if (!may_send(now) || stopping_) {
+    if (!may_send_orders(now) || stopping_) {
         return;
     }
     for (auto& [id, w] : workers_) {
@@ -51,7 +51,7 @@
             ++moved;
         }
         else {
-            reserve_for(now, *job, stage);
+            reserve_worker(now, *job, stage);
             continue; // better there for the rest of the worker's time than nowhere
         }
         stop_run_once(now, *live, id);
--- a/src/flow_cell_gangs.cpp
+++ b/src/flow_cell_gangs.cpp
@@ -40,7 +40,7 @@
 
 // Under an owner that came after, or when a member here has used the number already, it would be started under another
 // number than the rest, and wait for them in vain.
-bool flow_cell::may_join(const flow_job& job, const flow_stage& stage) const
+bool flow_cell::can_join_gang(const flow_job& job, const flow_stage& stage) const
 {
     const std::optional<run_number> run = shared_run(stage);
     return run && std::all_of(stage.tasks.begin(), stage.tasks.end(), [&](const flow_task& task) {
@@ -65,7 +65,7 @@
         return false;
     }
     const auto count = static_cast<std::int32_t>(stage.tasks.size());
-    std::vector<flow_cell_room> rooms = hooks_.list_room(now, id_, job.row().service_name, job.step(stage));
+    std::vector<flow_cell_room> rooms = hooks_.list_cells_with_room(now, id_, job.row().service_name, job.step(stage));
     const bool whole = !rooms.empty() && rooms.front().tasks >= count;
     if (!whole) {
         const duration patience = count_ever(job, stage) < count ? gang_spread_after : gang_spread_after_full;
@@ -153,7 +153,7 @@
 bool flow_cell::give_back_gang(instant now, flow_job& job, flow_stage& stage)
 {
     const std::optional<run_number> run = shared_run(stage);
-    const bool joins = may_join(job, stage);
+    const bool joins = can_join_gang(job, stage);
     const bool job_here = job.is_home_cell();
     bool changed = false;
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
@@ -173,13 +173,13 @@
     if (changed) {
         edges_.note(log_level::info, "gang", "given_back",
                     {{"job", job.id().str()}, {"step", std::to_string(stage.step)}, {"from", id_.str()}});
-        stop_stranded(now, job);
+        stop_incomplete_gangs(now, job);
     }
     return changed;
 }
 
 // Stops what runs here of gangs that cannot be complete: some member has gone back, perhaps to here.
-void flow_cell::stop_stranded(instant now, flow_job& job)
+void flow_cell::stop_incomplete_gangs(instant now, flow_job& job)
 {
     for (flow_stage& stage : job.stages()) {
         const bool complete = std::all_of(stage.tasks.begin(), stage.tasks.end(), [](const flow_task& t) {
--- a/src/flow_cell_log.cpp
+++ b/src/flow_cell_log.cpp
@@ -24,10 +24,10 @@
 flow_cell::task_wait flow_cell::why_waits(instant now, const flow_job& job, const flow_stage& stage,
                                           const flow_task& task) const
 {
-    if (!may_send(now)) {
+    if (!may_send_orders(now)) {
         return {task_wait_reason::owner_silent, worker_id()};
     }
-    if (!listed_since_taken_ && now - taken_at_ < list_wait_timeout) {
+    if (!workers_listed_since_takeover_ && now - taken_at_ < list_wait_timeout) {
         return {task_wait_reason::workers_not_listed, worker_id()};
     }
     if (!job.is_transfer_persisted(task)) {
@@ -157,7 +157,7 @@
                 {{"cell", id_.str()},
                  {"epoch", std::to_string(epoch_.value())},
                  {"jobs", std::to_string(jobs_.size())},
-                 {"awaited", std::to_string(awaited_.size())},
+                 {"awaited", std::to_string(unreconciled_jobs_.size())},
                  {"workers", std::to_string(usable)},
                  {"silent", std::to_string(silent)},
                  {"room_cpu", std::to_string(room.cpu_millis)},
--- a/src/flow_cell_moves.cpp
+++ b/src/flow_cell_moves.cpp
@@ -22,8 +22,8 @@
 } // namespace
 
 // In force once the job's row is written.
-void flow_cell::give_to(instant now, flow_job& job, const flow_task_id& task,
-                        const std::pair<cell_id, skylarkhub::epoch>& to)
+void flow_cell::move_task_to_cell(instant now, flow_job& job, const flow_task_id& task,
+                                  const std::pair<cell_id, skylarkhub::epoch>& to)
 {
     edges_.note(log_level::info, "task", "given_away",
                 {{"job", task.job.str()},
@@ -34,7 +34,7 @@
     job.hand_off_task(task, to.first, to.second, epoch_);
     ++stats_.handed_off;
     index_ready(job);
-    job_changed(now, job, job.step(*job.find_stage(task)).lasting); // others may share the write
+    mark_job_dirty(now, job, job.step(*job.find_stage(task)).lasting); // others may share the write
 }
 
 // Tasks that no worker here has room for go to a cell that has: a cell may lose workers, or fill up with tasks that
@@ -42,7 +42,7 @@
 void flow_cell::give_away_waiting(instant now)
 {
     next_give_away_ = now + handoff_interval;
-    if (stopping_ || !may_send(now)) {
+    if (stopping_ || !may_send_orders(now)) {
         return;
     }
     int left = max_handoffs;
@@ -62,9 +62,9 @@
             if (!job.step(stage).gang) {
                 left -= give_away_tasks(now, job, stage, left);
             }
-            else if (awaited_.count(key.job) == 0 && move_gang(now, job, stage)) {
+            else if (unreconciled_jobs_.count(key.job) == 0 && move_gang(now, job, stage)) {
                 index_ready(job);
-                job_changed(now, job, true);
+                mark_job_dirty(now, job, true);
             }
         }
         if (left <= 0) {
@@ -89,7 +89,7 @@
         if (!to) {
             break;
         }
-        give_to(now, job, job.task_id(stage, i), *to);
+        move_task_to_cell(now, job, job.task_id(stage, i), *to);
         ++given;
     }
     return given;
@@ -103,9 +103,9 @@
 {
     const flow_step& step = job.step(stage);
     const std::string& service = job.row().service_name;
-    auto to = hooks_.find_room(now, id_, service, step, room_kind::free);
+    auto to = hooks_.find_cell_with_room(now, id_, service, step, room_kind::free);
     if (!to && step.lasting && !can_make_room(job, stage)) {
-        to = hooks_.find_room(now, id_, service, step, room_kind::reservable);
+        to = hooks_.find_cell_with_room(now, id_, service, step, room_kind::reservable);
     }
     return to && job.may_extend_to(to->first, max_cells_per_job) ? to : std::nullopt;
 }
@@ -137,7 +137,7 @@
 // Keeps a worker free of new short work until a lasting task fits there. Short tasks come and go several times a second
 // and each takes what one before it gave back: a lasting task, which needs more at once, would wait for ever beside
 // them on a site that is full. Of the workers that will do, the one where least has to end.
-void flow_cell::reserve_for(instant now, const flow_job& job, const flow_stage& stage)
+void flow_cell::reserve_worker(instant now, const flow_job& job, const flow_stage& stage)
 {
     const auto most = static_cast<int>(max_reserved_share * static_cast<double>(workers_.size())) + 1;
     if (reserved_in_pass_ >= most) {
--- a/src/flow_cell_own.cpp
+++ b/src/flow_cell_ownership.cpp
@@ -28,20 +28,20 @@
 // once its last renewal is older than a follower takes into account: else it would start anew, on workers that the
 // follower cannot reach, what the follower starts elsewhere. While the table answers nobody there is no follower, and
 // what runs is kept alive.
-bool flow_cell::may_send(instant now) const
+bool flow_cell::may_send_orders(instant now) const
 {
     return role_ == role::owning && is_unfollowed(now, ownership_lease);
 }
 
 // Workers may be asked, and their leases renewed, also while the rows are read.
-bool flow_cell::may_hold(instant now) const
+bool flow_cell::may_renew_leases(instant now) const
 {
     return owns() && is_unfollowed(now, ownership_lease);
 }
 
 // A follower comes before its owner falls silent, and renews leases that the owner believes to have ended: what can be
 // known only by the time that has passed is concluded while there can be no follower.
-bool flow_cell::may_conclude(instant now) const
+bool flow_cell::may_expire_leases(instant now) const
 {
     return role_ == role::owning && is_unfollowed(now, owner_silence_local);
 }
@@ -98,7 +98,7 @@
     row_ = *decoded;
     const bool mine = row_.incarnation == self_.incarnation.str();
     if (owns() && (!mine || row_.epoch != epoch_.value())) {
-        lose(now, "another entry has taken the cell");
+        lose_ownership(now, "another entry has taken the cell");
     }
 }
 
@@ -128,10 +128,10 @@
     if (now >= next_vacating_) {
         vacate_draining(now);
     }
-    if (!listed_since_taken_ || alone_waits_) {
-        place_soon();
+    if (!workers_listed_since_takeover_ || isolated_task_waits_) {
+        schedule_placement();
     }
-    std::erase_if(put_away_, [&](const auto& job) { return now - job.second > ended_job_retention; });
+    std::erase_if(recently_ended_jobs_, [&](const auto& job) { return now - job.second > ended_job_retention; });
     tick_timed(now);
     if (now >= next_summary_) {
         next_summary_ = now + summary_interval;
@@ -306,9 +306,9 @@
     epoch_ = skylarkhub::epoch(wanted.epoch);
     role_ = role::reading;
     taken_at_ = now;
-    listed_since_taken_ = false;
+    workers_listed_since_takeover_ = false;
     next_renewal_ = now + renew_interval;
-    ++life_;
+    ++ownership_generation_;
     ++stats_.takeovers;
     edges_.note(log_level::info, "cell", "taken",
                 {{"cell", id_.str()}, {"epoch", std::to_string(wanted.epoch)}, {"fresh", fresh_ ? "yes" : "no"}});
@@ -361,8 +361,8 @@
     store_transaction t;
     t.checks.push_back({key, known});
     t.puts.push_back({key, encode_compact(row)});
-    edges_.commit(std::move(t), [this, part, life = life_](instant then, const store_result& result) {
-        if (life == life_) {
+    edges_.commit(std::move(t), [this, part, life = ownership_generation_](instant then, const store_result& result) {
+        if (life == ownership_generation_) {
             on_fenced(then, part, result);
         }
     });
@@ -377,8 +377,8 @@
     }
     if (result.outcome != table_outcome::conflict) {
         state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_max);
-        edges_.after(state.backoff, [this, part, life = life_](instant) {
-            if (life == life_) {
+        edges_.after(state.backoff, [this, part, life = ownership_generation_](instant) {
+            if (life == ownership_generation_) {
                 fence_part(part, row_version(0));
             }
         });
@@ -390,7 +390,7 @@
     const row_version version = result.rows.empty() ? row_version(0) : result.rows.front().version;
     const std::int64_t epoch_there = there ? there->epoch : 0;
     if (epoch_there > epoch_.value()) {
-        lose(now, "a later owner has fenced part " + part);
+        lose_ownership(now, "a later owner has fenced part " + part);
     }
     else if (epoch_there == epoch_.value() && version != state.fence_in_doubt) {
         use_fence(now, part, version);
@@ -437,13 +437,13 @@
     store_range range = cell_rows(table, id_, part);
     range.from = from.empty() ? range.from : from;
     range.rows_most = job_page_rows;
-    edges_.read(range, [this, part, table, from, life = life_](instant then, const store_page& page) {
-        if (life != life_) {
+    edges_.read(range, [this, part, table, from, life = ownership_generation_](instant then, const store_page& page) {
+        if (life != ownership_generation_) {
             return;
         }
         if (!page.reached) {
             edges_.after(commit_retry, [this, part, table, from, life](instant) {
-                if (life == life_) {
+                if (life == ownership_generation_) {
                     read_part(part, table, from);
                 }
             });
@@ -507,11 +507,11 @@
 void flow_cell::become_owner(instant now)
 {
     role_ = role::owning;
-    scanned_ = watched_;
-    awaited_.clear();
+    takeover_scan_version_ = watched_;
+    unreconciled_jobs_.clear();
     if (!fresh_) {
         for (const auto& [id, job] : jobs_) {
-            awaited_.insert(id);
+            unreconciled_jobs_.insert(id);
         }
     }
     fresh_ = false; // a part that is fenced anew from now on is read
@@ -521,11 +521,11 @@
                  {"epoch", std::to_string(epoch_.value())},
                  {"jobs", std::to_string(jobs_.size())},
                  {"workers", std::to_string(workers_.size())},
-                 {"awaited", std::to_string(awaited_.size())},
+                 {"awaited", std::to_string(unreconciled_jobs_.size())},
                  {"owner_before_silent_in_ms", std::to_string(wait.count() / 1000)}});
     for (auto& [id, job] : jobs_) {
         if (job->dirty()) {
-            job_changed(now, *job, true);
+            mark_job_dirty(now, *job, true);
         }
         if (job->cancelled() || job->ended()) {
             continue;
@@ -540,7 +540,7 @@
     for (auto& [id, w] : workers_) {
         hold_soon(now, id, duration(0));
     }
-    place_soon();
+    schedule_placement();
 }
 
 // The names of the workers for the cell's row, with what a follower need not find out again.
@@ -630,36 +630,37 @@
     wanted.workers = tell_workers(now, false);
     wanted.pending = pending_row(now);
     wanted.starts_noted = wanted.starts_noted || starts_are_noted(now);
-    write_row(wanted, [this, wanted, sent = now, life = life_](instant then, const store_result& result) {
-        if (life != life_) {
-            return;
-        }
-        acting_ = false;
-        if (result.outcome == table_outcome::applied) {
-            row_ = wanted;
-            note_named(wanted);
-            row_version_ = result.version;
-            row_seen_at_ = then;
-            renewed_ = sent;
-            next_renewal_ = then + renew_interval;
-            return;
-        }
-        next_renewal_ = then + renew_retry;
-        if (result.outcome == table_outcome::conflict) {
-            // Either another entry has the cell, or an earlier renewal of ours is in force although its answer was
-            // lost.
-            on_row_read(then, result.rows.empty() ? nullptr : &result.rows.front());
-        }
-    });
-}
-
-void flow_cell::lose(instant now, const std::string& reason)
+    write_row(wanted,
+              [this, wanted, sent = now, life = ownership_generation_](instant then, const store_result& result) {
+                  if (life != ownership_generation_) {
+                      return;
+                  }
+                  acting_ = false;
+                  if (result.outcome == table_outcome::applied) {
+                      row_ = wanted;
+                      note_named(wanted);
+                      row_version_ = result.version;
+                      row_seen_at_ = then;
+                      renewed_ = sent;
+                      next_renewal_ = then + renew_interval;
+                      return;
+                  }
+                  next_renewal_ = then + renew_retry;
+                  if (result.outcome == table_outcome::conflict) {
+                      // Either another entry has the cell, or an earlier renewal of ours is in force although its
+                      // answer was lost.
+                      on_row_read(then, result.rows.empty() ? nullptr : &result.rows.front());
+                  }
+              });
+}
+
+void flow_cell::lose_ownership(instant now, const std::string& reason)
 {
     edges_.note(log_level::warning, "cell", "lost",
                 {{"cell", id_.str()}, {"epoch", std::to_string(epoch_.value())}, {"reason", reason}});
     ++stats_.ownership_losses;
     leave_unwritten_ends();
-    ++life_;
+    ++ownership_generation_;
     role_ = role::watching;
     acting_ = false;
     row_unchanged_since_ = now;
@@ -668,16 +669,16 @@
     demand_.clear();
     ready_.clear();
     ready_keys_.clear();
-    awaited_.clear();
-    timed_.clear();
-    put_away_.clear();
+    unreconciled_jobs_.clear();
+    timed_jobs_.clear();
+    recently_ended_jobs_.clear();
     parts_.clear();
-    reading_jobs_.clear();
+    job_reads_in_flight_.clear();
     read_rows_.clear();
     recent_crashes_.clear();
-    lapsed_.clear();
-    alone_waits_ = false;
-    place_planned_ = false;
+    lapsed_workers_.clear();
+    isolated_task_waits_ = false;
+    placement_scheduled_ = false;
     for (auto& [id, w] : workers_) {
         const flow_listed_worker listing = w.listing;
         const bool listed = w.listed;
@@ -733,7 +734,7 @@
     wanted.released = true;
     wanted.workers = tell_workers(now, true);
     wanted.pending = pending_row(now);
-    ++life_; // from here on nothing is sent to a worker
+    ++ownership_generation_; // from here on nothing is sent to a worker
     role_ = role::released;
     write_release(wanted);
 }
@@ -764,7 +765,7 @@
 
 std::optional<timestamped_count> flow_cell::count_pending(instant now) const
 {
-    if (!jobs_known() || !may_hold(now)) {
+    if (!job_watch_version() || !may_renew_leases(now)) {
         return std::nullopt;
     }
     timestamped_count counted{{{}, watched_}, watched_at_, {}};
@@ -781,18 +782,18 @@
 wire::flow_pending_row flow_cell::pending_row(instant now) const
 {
     const auto own = count_pending(now);
-    const auto heard = own ? std::optional(own->count) : hooks_.heard_count(id_);
+    const auto heard = own ? std::optional(own->count) : hooks_.reported_pending_count(id_);
     return heard && heard->up_to.value() >= row_.pending.up_to ? to_row(*heard) : row_.pending;
 }
 
-std::optional<row_version> flow_cell::jobs_known() const
+std::optional<row_version> flow_cell::job_watch_version() const
 {
     return role_ == role::owning && parts_left_ == 0 ? std::optional(watched_) : std::nullopt;
 }
 
-void flow_cell::on_jobs_watched(row_version after, row_version up_to, std::optional<instant> asked)
+void flow_cell::on_job_watch_advanced(row_version after, row_version up_to, std::optional<instant> asked)
 {
-    if (jobs_known() && watched_ >= after) {
+    if (job_watch_version() && watched_ >= after) {
         watched_ = std::max(watched_, up_to);
         watched_at_ = std::max(watched_at_, asked.value_or(watched_at_));
     }
@@ -800,14 +801,14 @@
 
 void flow_cell::on_news_read(instant asked)
 {
-    if (jobs_known()) {
+    if (job_watch_version()) {
         watched_at_ = std::max(watched_at_, asked);
     }
 }
 
-void flow_cell::on_job_history_gone(instant now)
+void flow_cell::on_job_history_compacted(instant now)
 {
-    if (jobs_known()) {
+    if (job_watch_version()) {
         read_all_jobs(now);
     }
 }
--- a/src/flow_cell_p.h
+++ b/src/flow_cell_p.h
@@ -50,21 +50,21 @@
     // Another cell with such room for one more task of such a step, with its epoch; empty when none is known.
     std::function<std::optional<std::pair<cell_id, epoch>>(instant, const cell_id& from, const std::string& service,
                                                            const flow_step&, room_kind)>
-        find_room;
+        find_cell_with_room;
     // The other cells with room for tasks of such a step, the one with most first.
     std::function<std::vector<flow_cell_room>(instant, const cell_id& from, const std::string& service,
                                               const flow_step&)>
-        list_room;
+        list_cells_with_room;
     // The share of the processors of a service, in all cells heard of, that tasks take which do not fill.
-    std::function<double(instant, const std::string& service)> share_in_use;
+    std::function<double(instant, const std::string& service)> non_filling_cpu_share;
     // A row that the owner of another cell must know.
     std::function<void(instant, const job_row_name&, const wire::flow_job_row&, row_version)> notify_cell_owner;
     // What is known of the jobs that wait in a cell whose rows are not read yet.
-    std::function<std::optional<pending_count>(const cell_id&)> heard_count;
+    std::function<std::optional<pending_count>(const cell_id&)> reported_pending_count;
     // The table has answered nobody that this entry hears from since `since`, and it hears from most entries.
     std::function<bool(instant now, instant since)> table_outage;
     // A state that is durable, for the entry that answers the caller.
-    std::function<void(instant, const wire::flow_job_row&, const job_id&, flow_state)> state_changed;
+    std::function<void(instant, const wire::flow_job_row&, const job_id&, flow_state)> publish_job_state;
 };
 
 // Why a task that is ready is not placed.
@@ -98,10 +98,10 @@
     const cell_id& id() const { return id_; }
     role current_role() const { return role_; }
     // Owned, or a take of it is under way.
-    bool goes_for_ownership() const { return owns() || role_ == role::taking; }
+    bool owns_or_is_taking_over() const { return owns() || role_ == role::taking; }
     bool owns() const { return role_ == role::owning || role_ == role::reading; }
     // Of jobs. While the rows are read none can be told from one of a job that has ended before they were.
-    bool takes_news() const { return role_ == role::owning; }
+    bool accepts_job_news() const { return role_ == role::owning; }
     skylarkhub::epoch epoch() const { return epoch_; }
     const wire::flow_cell_row& row() const { return row_; }
     const flow_cell_stats& stats() const { return stats_; }
@@ -117,15 +117,15 @@
     // A row of a job that may concern this cell, as it is in the table.
     void on_job_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
     // The version up to which the table of jobs is known here; empty while it is read as a whole, or not owned.
-    std::optional<row_version> jobs_known() const;
+    std::optional<row_version> job_watch_version() const;
     // Every row of the table of jobs that changed after the one version and up to the other was given to on_job_row().
     // A cell that was taken while the look was under way may know less than `after`: it is looked for again from there.
     // `asked`: when, of a look that showed all there was.
-    void on_jobs_watched(row_version after, row_version up_to, std::optional<instant> asked);
+    void on_job_watch_advanced(row_version after, row_version up_to, std::optional<instant> asked);
     // All news that there were when they were asked for were given to on_job_row(), from reads that show no version.
     void on_news_read(instant asked);
     // The table has discarded changes that were not seen here.
-    void on_job_history_gone(instant now);
+    void on_job_history_compacted(instant now);
     // Carries out what the events since the last call have made due. Called after every event.
     void run_deferred_work(instant now);
     // A planned stop: nothing more is started, what is known is written, the row is released.
@@ -254,7 +254,7 @@
         }
     };
 
-    // flow_cell_own.cpp
+    // flow_cell_ownership.cpp
     void consider_takeover(instant now, const cell_candidacy& candidacy);
     void probe_then_take();
     void take(instant now);
@@ -277,14 +277,14 @@
     void note_named(const wire::flow_cell_row& row);
     void know_named(const wire::flow_cell_row& row);
     void bound_inherited(const wire::flow_cell_row& row);
-    void lose(instant now, const std::string& reason);
+    void lose_ownership(instant now, const std::string& reason);
     void release(instant now);
     bool is_settled() const;
     void write_release(const wire::flow_cell_row& wanted);
     void on_released(instant now, const wire::flow_cell_row& wanted, const store_result& result);
-    bool may_send(instant now) const;
-    bool may_hold(instant now) const;
-    bool may_conclude(instant now) const;
+    bool may_send_orders(instant now) const;
+    bool may_renew_leases(instant now) const;
+    bool may_expire_leases(instant now) const;
     bool is_unfollowed(instant now, duration hold) const;
     void read_row(instant now);
 
@@ -296,7 +296,7 @@
     void take_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer);
     void take_end(instant now, cell_worker& w, const reported_end& end);
     void leave_ends(const job_id& job, const std::vector<reported_end>& ends);
-    void leave_listed_ends(const order_answer& answer);
+    void persist_listed_ends(const order_answer& answer);
     void leave_unwritten_ends();
     void read_unknown_job(const job_id& job);
     void ask_unknown_job(const job_id& job);
@@ -364,10 +364,10 @@
     cell_worker* choose_alone(instant now, const flow_job& job, const flow_stage& stage, const flow_task_id& id);
     static void begin_alone(instant now, cell_worker& w, const flow_task& task);
 
-    // flow_cell_notes.cpp
+    // flow_cell_start_records.cpp
     bool may_start(const flow_job& job, const flow_stage& stage, const flow_task& task) const;
     bool starts_are_noted(instant now) const;
-    void note_then_start(instant now, flow_job& job, const flow_task_id& task, live_run& live);
+    void record_then_start(instant now, flow_job& job, const flow_task_id& task, live_run& live);
     void send_noted(instant now, flow_job& job);
     void drop_unsent(instant now, const flow_task& task, const flow_task_id& id);
 
@@ -377,13 +377,13 @@
 
     // flow_cell_runs.cpp
     // What is known of a run; null where it is not known (any more).
-    struct run_parts {
+    struct run_lookup {
         cell_worker* worker = nullptr;
         flow_job* job = nullptr;
         flow_task* task = nullptr;
         live_run* live = nullptr;
     };
-    run_parts locate(const worker_id& id, const flow_task_id& task, run_number run);
+    run_lookup locate(const worker_id& id, const flow_task_id& task, run_number run);
     void send_start(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries);
     void on_started(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries,
                     const order_answer& answer);
@@ -410,17 +410,17 @@
     void note_demand(instant now, const flow_job& job);
     std::unique_ptr<flow_job> read_job(const job_id& id, const std::vector<store_row>& rows) const;
     void take_rows(instant now, const job_id& id, const std::vector<store_row>& rows);
-    void remove_rows(instant now, const job_id& id, std::vector<store_key> keys);
+    void schedule_row_removal(instant now, const job_id& id, std::vector<store_key> keys);
     void read_rows(const job_id& job, std::function<void(instant, const std::vector<store_row>*)> done);
     void on_new_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
     void adopt_job(instant now, std::unique_ptr<flow_job> made);
     void end_if_decided(instant now, flow_job& job);
-    void job_changed(instant now, flow_job& job, bool urgent);
+    void mark_job_dirty(instant now, flow_job& job, bool urgent);
     bool deposed_by(instant now, const flow_job& job);
     void forget_job(instant now, job_id id);
 
     // flow_cell_placing.cpp
-    void place_soon() { place_planned_ = true; }
+    void schedule_placement() { placement_scheduled_ = true; }
     void place_ready(instant now);
     bool place_stage(instant now, flow_job& job, flow_stage& stage);
     // `near`: the rack where the rest of a gang is; invalid: none. `patience`: how long filling work waits for a place
@@ -448,22 +448,23 @@
     // flow_cell_moves.cpp
     void give_away_waiting(instant now);
     int give_away_tasks(instant now, flow_job& job, flow_stage& stage, int most);
-    void give_to(instant now, flow_job& job, const flow_task_id& task, const std::pair<cell_id, skylarkhub::epoch>& to);
+    void move_task_to_cell(instant now, flow_job& job, const flow_task_id& task,
+                           const std::pair<cell_id, skylarkhub::epoch>& to);
     std::optional<std::pair<cell_id, skylarkhub::epoch>> find_place_elsewhere(instant now, const flow_job& job,
                                                                               const flow_stage& stage);
     static bool is_reservable(const cell_worker& w, const flow_job& job, const flow_stage& stage);
     static std::int32_t count_beside(const cell_worker& w, const flow_job& job, const flow_stage& stage);
     bool can_make_room(const flow_job& job, const flow_stage& stage);
-    void reserve_for(instant now, const flow_job& job, const flow_stage& stage);
+    void reserve_worker(instant now, const flow_job& job, const flow_stage& stage);
 
     // flow_cell_gangs.cpp
-    bool may_join(const flow_job& job, const flow_stage& stage) const;
+    bool can_join_gang(const flow_job& job, const flow_stage& stage) const;
     bool move_gang(instant now, flow_job& job, flow_stage& stage);
     bool spread_gang(instant now, flow_job& job, flow_stage& stage);
     bool give_back_gang(instant now, flow_job& job, flow_stage& stage);
     std::int32_t count_ever(const flow_job& job, const flow_stage& stage) const;
     std::int32_t count_fitting(instant now, flow_job& job, flow_stage& stage);
-    void stop_stranded(instant now, flow_job& job);
+    void stop_incomplete_gangs(instant now, flow_job& job);
 
     // flow_cell_commit.cpp
     void commit_soon(instant now, const std::string& part, duration wait);
@@ -503,7 +504,7 @@
                                 const stray_run&) = default; // NOLINT(modernize-use-nullptr): wrong in clang-tidy 14
     };
     // What somebody has told of a job.
-    struct told_row {
+    struct reported_job_row {
         job_row_name name;
         wire::flow_job_row row;
         row_version version;
@@ -511,7 +512,7 @@
     // A job that is not known here and whose rows are being read.
     struct job_reading {
         std::set<stray_run> strays;
-        std::vector<told_row> told; // since the read began
+        std::vector<reported_job_row> told; // since the read began
     };
     struct ready_key {
         flow_urgency urgency;
@@ -541,16 +542,16 @@
     skylarkhub::epoch epoch_;
     instant renewed_{}; // when the last renewal that succeeded was sent
     instant taken_at_{};
-    bool listed_since_taken_ = false;
+    bool workers_listed_since_takeover_ = false;
     instant stop_planned_at_{};
     instant old_owner_silent_{}; // from then on the owner before certainly sends nothing
     bool fresh_ = false;         // nobody owned it before
     bool stopping_ = false;
     instant next_renewal_{};
-    std::uint64_t life_ = 0; // of an ownership; callbacks of an earlier one are dropped
-    row_version scanned_;    // every job that went on at this version was read at the takeover
-    row_version watched_;    // the jobs table is known up to here
-    instant watched_at_{};   // when what showed that was asked for
+    std::uint64_t ownership_generation_ = 0; // of an ownership; callbacks of an earlier one are dropped
+    row_version takeover_scan_version_;      // every job that went on at this version was read at the takeover
+    row_version watched_;                    // the jobs table is known up to here
+    instant watched_at_{};                   // when what showed that was asked for
     instant next_give_away_{};
     instant next_summary_{};
     instant next_waits_log_{};
@@ -558,31 +559,32 @@
     int parts_left_ = 0;
     int next_part_ = 0;                                                         // whose reading has not begun
     std::map<std::string, std::map<job_id, std::vector<store_row>>> read_rows_; // by part, of parts that are being read
-    std::map<job_id, job_reading> reading_jobs_;
+    std::map<job_id, job_reading> job_reads_in_flight_;
 
     std::map<worker_id, cell_worker> workers_;
     std::map<job_id, std::unique_ptr<flow_job>> jobs_;
     std::set<ready_key> ready_; // jobs with tasks that wait for a worker, the most urgent first
     std::map<job_id, ready_key> ready_keys_;
-    std::set<job_id> awaited_; // known since the takeover; may_start() tells for which tasks that means a wait
-    std::set<job_id> timed_;
-    std::map<job_id, instant> put_away_; // ended jobs, until no late page can tell of them any more
+    std::set<job_id>
+        unreconciled_jobs_; // known since the takeover; may_start() tells for which tasks that means a wait
+    std::set<job_id> timed_jobs_;
+    std::map<job_id, instant> recently_ended_jobs_; // ended jobs, until no late page can tell of them any more
     crash_watch<flow_task_id> recent_crashes_;
-    std::map<net_address, lapsed_life> lapsed_;
-    bool alone_waits_ = false; // a task waits for a worker to itself
+    std::map<net_address, lapsed_life> lapsed_workers_;
+    bool isolated_task_waits_ = false; // a task waits for a worker to itself
     std::map<std::string, part_state> parts_;
     interference_model interference_;
     load_forecast loads_;                        // of jobs that serve
     std::map<std::string, batch_demand> demand_; // by service, of the jobs bound here
-    instant refitted_{};
-    bool place_planned_ = false;
+    instant refitted_at_{};
+    bool placement_scheduled_ = false;
     std::uint64_t placing_pass_ = 0;
     int reserved_in_pass_ = 0;
     int kept_in_round_ = 0; // of giving away: tasks that wait for a worker to be kept free
-    wire::flow_cell_news told_news_;
-    instant told_news_at_{};
-    std::uint64_t told_news_life_ = 0; // one more than the ownership it was made in; 0: none was
-    instant presses_told_from_{};
+    wire::flow_cell_news cached_news_;
+    instant cached_news_at_{};
+    std::uint64_t cached_news_generation_ = 0; // one more than the ownership it was made in; 0: none was
+    instant presses_sent_since_{};
     flow_cell_stats stats_;
 };
 
--- a/src/flow_cell_pace.cpp
+++ b/src/flow_cell_pace.cpp
@@ -208,8 +208,8 @@
     const duration since = w.measured_at == instant{} ? duration(0) : now - w.measured_at;
     w.tail = 0;
     learn(w, answer);
-    if (now - refitted_ >= refit_interval) {
-        refitted_ = now;
+    if (now - refitted_at_ >= refit_interval) {
+        refitted_at_ = now;
         interference_.refit();
     }
     if (w.tail < easy_tail) {
@@ -249,7 +249,7 @@
 
 void flow_cell::send_paces(instant now, cell_worker& w)
 {
-    if (!may_send(now)) {
+    if (!may_send_orders(now)) {
         return;
     }
     for (const auto& [task, run] : w.ledger) {
@@ -266,18 +266,19 @@
             continue;
         }
         w.paced[task] = wanted;
-        edges_.order(
-            place_of(w), pace_run{task, run.run, wanted, epoch_}, pace_timeout,
-            [this, id = w.listing.worker, task = task, wanted, life = life_](instant, const order_answer& answer) {
-                const auto at = workers_.find(id);
-                if (life != life_ || at == workers_.end() || answer.result == order_result::accepted) {
-                    return;
-                }
-                const auto p = at->second.paced.find(task);
-                if (p != at->second.paced.end() && p->second == wanted) {
-                    p->second = pace_unknown; // said again with the next exchange
-                }
-            });
+        edges_.order(place_of(w), pace_run{task, run.run, wanted, epoch_}, pace_timeout,
+                     [this, id = w.listing.worker, task = task, wanted,
+                      life = ownership_generation_](instant, const order_answer& answer) {
+                         const auto at = workers_.find(id);
+                         if (life != ownership_generation_ || at == workers_.end() ||
+                             answer.result == order_result::accepted) {
+                             return;
+                         }
+                         const auto p = at->second.paced.find(task);
+                         if (p != at->second.paced.end() && p->second == wanted) {
+                             p->second = pace_unknown; // said again with the next exchange
+                         }
+                     });
     }
 }
 
--- a/src/flow_cell_placing.cpp
+++ b/src/flow_cell_placing.cpp
@@ -18,8 +18,8 @@
 
 void flow_cell::run_deferred_work(instant now)
 {
-    if (place_planned_) {
-        place_planned_ = false;
+    if (placement_scheduled_) {
+        placement_scheduled_ = false;
         place_ready(now);
     }
     for (auto& [part, state] : parts_) {
@@ -65,15 +65,15 @@
 
 void flow_cell::place_ready(instant now)
 {
-    if (role_ != role::owning || stopping_ || !may_send(now)) {
+    if (role_ != role::owning || stopping_ || !may_send_orders(now)) {
         return;
     }
     // An entry that owns nothing looks at the list seldom: what it knows when it takes a cell over may be so old that
     // it would start tasks on workers that have said long ago that they leave. The entry asks for the list at once.
-    if (!listed_since_taken_ && now - taken_at_ < list_wait_timeout) {
+    if (!workers_listed_since_takeover_ && now - taken_at_ < list_wait_timeout) {
         return;
     }
-    alone_waits_ = false;
+    isolated_task_waits_ = false;
     ++placing_pass_;
     reserved_in_pass_ = 0;
     const std::set<ready_key> waiting = ready_;
@@ -86,7 +86,7 @@
         }
         flow_job& job = *found->second;
         // What two owners counted may reach the limit only when their rows are merged; no run ends then to show it.
-        if (awaited_.count(id) == 0 && has_spent_task(job)) {
+        if (unreconciled_jobs_.count(id) == 0 && has_spent_task(job)) {
             end_job(now, job, flow_state::failed);
             continue;
         }
@@ -206,7 +206,7 @@
 duration flow_cell::patience_of(instant now, const flow_job& job, const flow_task& task) const
 {
     const bool missed = now - task.ready_since >= fill_interference_wait_idle && !job.running() &&
-                        hooks_.share_in_use(now, job.row().service_name) < idle_site_use;
+                        hooks_.non_filling_cpu_share(now, job.row().service_name) < idle_site_use;
     return missed ? fill_interference_wait_idle : fill_interference_wait;
 }
 
@@ -222,7 +222,7 @@
     if (step.gang && members_left) {
         return false; // of an earlier run, not all of which have ended
     }
-    if (step.gang && spans_cells(stage) && (job.dirty() || !may_join(job, stage))) {
+    if (step.gang && spans_cells(stage) && (job.dirty() || !can_join_gang(job, stage))) {
         return false;
     }
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
@@ -241,7 +241,7 @@
         if (w == nullptr) {
             const std::int32_t reserving = step.lasting && !step.gang ? waiting_long(now, stage) : 0;
             for (std::int32_t n = 0; n < reserving; ++n) {
-                reserve_for(now, job, stage);
+                reserve_worker(now, job, stage);
             }
             break;
         }
@@ -296,7 +296,7 @@
                  {"left_cpu", std::to_string(w.listing.room.cpu_millis - w.held.cpu_millis)}});
     task.runs.back().alone = w.kept_for == id;
     if (persists_starts(step) || (task.runs.back().alone && !step.gang)) {
-        note_then_start(now, job, id, task.runs.back());
+        record_then_start(now, job, id, task.runs.back());
         return;
     }
     send_start(now, w.listing.worker, id, run, 0);
@@ -357,11 +357,11 @@
 void flow_cell::tick_timed(instant now)
 {
     const wall_time wall = edges_.wall();
-    for (const job_id& id : timed_) {
+    for (const job_id& id : timed_jobs_) {
         const auto found = jobs_.find(id);
         if (found != jobs_.end() && found->second->open_stages(now, wall)) {
             index_ready(*found->second);
-            place_soon();
+            schedule_placement();
         }
     }
 }
--- a/src/flow_cell_runs.cpp
+++ b/src/flow_cell_runs.cpp
@@ -64,9 +64,9 @@
     count_serving(w, job, run, change);
 }
 
-flow_cell::run_parts flow_cell::locate(const worker_id& id, const flow_task_id& task, run_number run)
+flow_cell::run_lookup flow_cell::locate(const worker_id& id, const flow_task_id& task, run_number run)
 {
-    run_parts parts;
+    run_lookup parts;
     const auto at = workers_.find(id);
     const auto found = jobs_.find(task.job);
     parts.worker = at == workers_.end() ? nullptr : &at->second;
@@ -88,7 +88,7 @@
     if (live == nullptr || live->confirmed) {
         return;
     }
-    if (live->stopping || !may_send(now)) {
+    if (live->stopping || !may_send_orders(now)) {
         send_stop(now, id, task, run, 0);
         return;
     }
@@ -114,8 +114,8 @@
     // A try that is sent again carries the first one's lease: else a silent worker's would never certainly end.
     order.lease_until = live->lease_until;
     edges_.order(place_of(w), order, start_timeout,
-                 [this, id, task, run, tries, life = life_](instant then, const order_answer& answer) {
-                     if (life == life_) {
+                 [this, id, task, run, tries, life = ownership_generation_](instant then, const order_answer& answer) {
+                     if (life == ownership_generation_) {
                          on_started(then, id, task, run, tries, answer);
                      }
                  });
@@ -174,8 +174,8 @@
         if (now - live->sent > gang_start_timeout && job->step(*job->find_stage(task)).gang) {
             stop_gang(now, *job, *job->find_stage(task), run);
         }
-        edges_.after(start_retry, [this, id, task, run, tries, life = life_](instant then) {
-            if (life == life_) {
+        edges_.after(start_retry, [this, id, task, run, tries, life = ownership_generation_](instant then) {
+            if (life == ownership_generation_) {
                 send_start(then, id, task, run, tries + 1);
             }
         });
@@ -203,7 +203,7 @@
     const std::uint64_t before = job.changes();
     job.note_job_started();
     if (job.changes() != before) {
-        job_changed(now, job, false);
+        mark_job_dirty(now, job, false);
     }
 }
 
@@ -219,7 +219,7 @@
         return;
     }
     drop_run(now, w, task, run);
-    place_soon();
+    schedule_placement();
 }
 
 // --- stops ---
@@ -230,18 +230,18 @@
     if (at == workers_.end() || !owns()) {
         return;
     }
-    if (!may_send(now)) {
+    if (!may_send_orders(now)) {
         // An owner that has not renewed for long is silent, but may come back before the run's lease ends: a stop that
         // was dropped meanwhile would leave a cancelled task running.
         stop_again(id, task, run, tries);
         return;
     }
     edges_.order(place_of(at->second), stop_run{task, run, epoch_}, stop_timeout,
-                 [this, id, task, run, tries, life = life_](instant then, const order_answer& answer) {
-                     if (life != life_) {
+                 [this, id, task, run, tries, life = ownership_generation_](instant then, const order_answer& answer) {
+                     if (life != ownership_generation_) {
                          return;
                      }
-                     const run_parts parts = locate(id, task, run);
+                     const run_lookup parts = locate(id, task, run);
                      if (parts.worker == nullptr || superseded(then, *parts.worker, answer.result)) {
                          return;
                      }
@@ -277,8 +277,8 @@
 
 void flow_cell::stop_again(const worker_id& id, const flow_task_id& task, run_number run, int tries)
 {
-    edges_.after(stop_retry, [this, id, task, run, tries, life = life_](instant then) {
-        if (life == life_) {
+    edges_.after(stop_retry, [this, id, task, run, tries, life = ownership_generation_](instant then) {
+        if (life == ownership_generation_) {
             send_stop(then, id, task, run, tries);
         }
     });
@@ -321,7 +321,7 @@
 void flow_cell::drop_run(instant now, cell_worker& w, const flow_task_id& task, run_number run)
 {
     ledger_remove(w, task, run);
-    place_soon();
+    schedule_placement();
     const auto found = jobs_.find(task.job);
     if (found == jobs_.end()) {
         return;
@@ -338,13 +338,13 @@
     const std::uint64_t before = job.changes();
     job.note_run_ended(task, run);
     if (job.changes() != before) {
-        job_changed(now, job, false);
+        mark_job_dirty(now, job, false);
     }
     if (t->runs.empty() && t->stage == flow_task_state::placed) {
         requeue(now, job, task);
     }
     if (job.cancelled() || job.ended()) {
-        job_changed(now, job, false); // it may be the last run, after which the job is put away
+        mark_job_dirty(now, job, false); // it may be the last run, after which the job is put away
     }
 }
 
@@ -360,7 +360,7 @@
     t->ready_since = now;
     ++stage->ready;
     if (const auto to = std::exchange(t->moves_to, std::nullopt)) {
-        give_to(now, job, task, *to);
+        move_task_to_cell(now, job, task, *to);
         return;
     }
     index_ready(job);
@@ -377,9 +377,9 @@
     }
     else if (stage_done && job.open_stages(now, edges_.wall())) {
         index_ready(job);
-        place_soon();
+        schedule_placement();
     }
-    job_changed(now, job, stage_done);
+    mark_job_dirty(now, job, stage_done);
 }
 
 bool flow_cell::out_of_attempts(const flow_job& job, const flow_task& task) const
@@ -420,7 +420,7 @@
     stats_.job_times.add(std::chrono::milliseconds(now_ms - job.row().accepted_ms));
     job.note_outcome(outcome);
     stop_job_runs(now, job);
-    job_changed(now, job, true);
+    mark_job_dirty(now, job, true);
 }
 
 // --- jobs ---
@@ -480,10 +480,10 @@
     std::unique_ptr<flow_job> made = read_job(id, rows);
     if (made && made->ended()) {
         // Read again while they are removed, its rows may show that it was accepted and no longer that it has ended.
-        put_away_[id] = now;
-        remove_rows(now, id, keys_of(rows));
+        recently_ended_jobs_[id] = now;
+        schedule_row_removal(now, id, keys_of(rows));
     }
-    else if (made && put_away_.count(id) == 0) {
+    else if (made && recently_ended_jobs_.count(id) == 0) {
         adopt_job(now, std::move(made));
     }
 }
@@ -508,20 +508,20 @@
 void flow_cell::on_new_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version)
 {
     // What an entry tells may be older than what was read at the takeover: a job that is not known since has ended.
-    if (!takes_news() || version <= scanned_) {
+    if (!accepts_job_news() || version <= takeover_scan_version_) {
         return;
     }
     // A page read or a message sent before the job's last write still shows it going on: taken up again it would run
     // anew, with its runs numbered from the first.
     const bool accepted = name == accepted_row(id_, name.job);
-    if (row.outcome != 0 || (accepted && put_away_.count(name.job) != 0)) {
+    if (row.outcome != 0 || (accepted && recently_ended_jobs_.count(name.job) != 0)) {
         return;
     }
     if (!accepted) {
         // Its writer may not know yet that the job has ended. A row that comes while the job's rows are read may have
         // been written after they were: dropped, a task that it gives to this cell would be looked for by nobody.
-        const auto reading = reading_jobs_.find(name.job);
-        if (reading != reading_jobs_.end()) {
+        const auto reading = job_reads_in_flight_.find(name.job);
+        if (reading != job_reads_in_flight_.end()) {
             reading->second.told.push_back({name, row, version});
         }
         else {
@@ -568,13 +568,13 @@
     if (deposed_by(now, known)) {
         return;
     }
-    stop_stranded(now, known);
+    stop_incomplete_gangs(now, known);
     if (known.ended() && !was_ended) {
         stop_job_runs(now, known);
-        job_changed(now, known, true);
+        mark_job_dirty(now, known, true);
     }
     else if (!known.cancelled() && role_ == role::owning && known.open_stages(now, edges_.wall())) {
-        place_soon(); // another cell has ended the last task of a step
+        schedule_placement(); // another cell has ended the last task of a step
     }
     if (!known.cancelled() && !known.ended()) {
         index_ready(known);
@@ -583,10 +583,10 @@
     if (known.cancelled() && !was_cancelled) {
         edges_.note(log_level::info, "job", "cancelled", {{"job", job.str()}, {"cell", id_.str()}});
         stop_job_runs(now, known);
-        job_changed(now, known, true);
+        mark_job_dirty(now, known, true);
     }
     else if (known.dirty() && !was_dirty) {
-        job_changed(now, known, true); // a task has come here, or callers are to see that the job has started
+        mark_job_dirty(now, known, true); // a task has come here, or callers are to see that the job has started
     }
 }
 
@@ -600,7 +600,7 @@
     if (job.all_done()) {
         end_job(now, job, flow_state::done);
     }
-    else if (awaited_.count(job.id()) == 0 && has_spent_task(job)) {
+    else if (unreconciled_jobs_.count(job.id()) == 0 && has_spent_task(job)) {
         end_job(now, job, flow_state::failed);
     }
 }
@@ -637,7 +637,7 @@
     const wire::flow_job_row& row = job->row();
     note_demand(now, *job);
     if (job->timed()) {
-        timed_.insert(id);
+        timed_jobs_.insert(id);
     }
     if (role_ != role::owning) {
         return;
@@ -653,18 +653,18 @@
     }
     adopt_strays(now, *job);
     if (job->newest_epoch() < epoch_ && !all_accounted(now)) {
-        awaited_.insert(id); // the owner before may have heard of it first
+        unreconciled_jobs_.insert(id); // the owner before may have heard of it first
     }
     if (job->cancelled()) {
-        job_changed(now, *job, false);
+        mark_job_dirty(now, *job, false);
         return;
     }
     job->open_stages(now, edges_.wall());
     index_ready(*job);
     if (job->dirty()) {
-        job_changed(now, *job, true);
+        mark_job_dirty(now, *job, true);
     }
-    place_soon();
+    schedule_placement();
 }
 
 bool flow_cell::deposed_by(instant now, const flow_job& job)
@@ -672,7 +672,7 @@
     if (role_ != role::owning || job.newest_epoch() <= epoch_) {
         return false;
     }
-    lose(now, "job " + job.id().str() + " was given to a later owner");
+    lose_ownership(now, "job " + job.id().str() + " was given to a later owner");
     return true;
 }
 
@@ -683,12 +683,12 @@
         return;
     }
     drop_ready(id);
-    awaited_.erase(id);
-    timed_.erase(id);
+    unreconciled_jobs_.erase(id);
+    timed_jobs_.erase(id);
     loads_.forget(id);
     parts_[job_part(id)].dirty.erase(id);
     jobs_.erase(found);
-    put_away_[id] = now;
+    recently_ended_jobs_[id] = now;
 }
 
 // What a worker adds to the room for each filling image, and to what its pool serves.
@@ -799,18 +799,18 @@
 
 const wire::flow_cell_news& flow_cell::told_news(instant now)
 {
-    if (told_news_life_ != life_ + 1 || told_news_at_ + news_cache_ttl <= now) {
-        told_news_ = news(now);
-        told_news_at_ = now;
-        told_news_life_ = life_ + 1;
-        if (now - presses_told_from_ >= presses_interval) {
-            presses_told_from_ = now;
+    if (cached_news_generation_ != ownership_generation_ + 1 || cached_news_at_ + news_cache_ttl <= now) {
+        cached_news_ = news(now);
+        cached_news_at_ = now;
+        cached_news_generation_ = ownership_generation_ + 1;
+        if (now - presses_sent_since_ >= presses_interval) {
+            presses_sent_since_ = now;
         }
-        if (now - presses_told_from_ > presses_report_window) {
-            told_news_.presses.clear();
+        if (now - presses_sent_since_ > presses_report_window) {
+            cached_news_.presses.clear();
         }
     }
-    return told_news_;
+    return cached_news_;
 }
 
 } // namespace skylarkhub
--- a/src/flow_cell_notes.cpp
+++ b/src/flow_cell_start_records.cpp
@@ -19,7 +19,7 @@
     if (!job.is_transfer_persisted(task)) {
         return false;
     }
-    if (awaited_.count(job.id()) == 0) {
+    if (unreconciled_jobs_.count(job.id()) == 0) {
         return true;
     }
     if (!persists_starts(job.step(stage)) || !row_.starts_noted || !job.row().starts_noted) {
@@ -36,16 +36,16 @@
 {
     const bool written =
         std::all_of(parts_.begin(), parts_.end(), [](const auto& p) { return p.second.dirty.empty(); });
-    return role_ == role::owning && awaited_.empty() && all_accounted(now) && written;
+    return role_ == role::owning && unreconciled_jobs_.empty() && all_accounted(now) && written;
 }
 
 // The run is in the worker's ledger, so its room is kept meanwhile. All tasks that are placed in one go are noted with
 // one write.
-void flow_cell::note_then_start(instant now, flow_job& job, const flow_task_id& task, live_run& live)
+void flow_cell::record_then_start(instant now, flow_job& job, const flow_task_id& task, live_run& live)
 {
     job.note_start(task, live.worker, live.run);
     live.noted = job.changes();
-    job_changed(now, job, true);
+    mark_job_dirty(now, job, true);
 }
 
 // While the write was under way the worker may have begun to drain, or this owner may have lost the right to send: then
@@ -68,11 +68,11 @@
         }
     }
     for (const noted_start& start : starts) {
-        const run_parts parts = locate(start.worker, start.task, start.run);
+        const run_lookup parts = locate(start.worker, start.task, start.run);
         if (parts.worker == nullptr || parts.live == nullptr) {
             continue;
         }
-        if (!may_send(now) || !takes_starts(now, *parts.worker)) {
+        if (!may_send_orders(now) || !takes_starts(now, *parts.worker)) {
             drop_run(now, *parts.worker, start.task, start.run);
             continue;
         }
--- a/src/flow_cell_workers.cpp
+++ b/src/flow_cell_workers.cpp
@@ -13,7 +13,7 @@
 
 void flow_cell::on_workers_listed(instant now, const std::vector<flow_listed_worker>& workers)
 {
-    listed_since_taken_ = true;
+    workers_listed_since_takeover_ = true;
     std::set<worker_id> present;
     for (const flow_listed_worker& listing : workers) {
         present.insert(listing.worker);
@@ -61,7 +61,7 @@
         ++at;
     }
     if (role_ == role::owning) {
-        place_soon();
+        schedule_placement();
     }
 }
 
@@ -83,7 +83,7 @@
 // A worker whose leases have ended is asked once all the same: it may list ends that the owner before could not hear.
 bool flow_cell::all_accounted(instant now) const
 {
-    const bool may_be_lapsed = may_conclude(now);
+    const bool may_be_lapsed = may_expire_leases(now);
     return std::all_of(workers_.begin(), workers_.end(), [may_be_lapsed](const auto& named) {
         const cell_worker& w = named.second;
         return w.fenced || !w.inherited || (w.lapsed && w.silent > 0 && may_be_lapsed);
@@ -93,7 +93,7 @@
 // Tasks that last and were on such a worker may start from now on.
 void flow_cell::note_lapsed(instant now, cell_worker& w)
 {
-    if (!w.inherited || w.is_asked() || w.lapsed || now < w.lapsed_after || !may_conclude(now)) {
+    if (!w.inherited || w.is_asked() || w.lapsed || now < w.lapsed_after || !may_expire_leases(now)) {
         return;
     }
     w.lapsed = true;
@@ -101,13 +101,13 @@
                 {{"cell", id_.str()},
                  {"worker", w.listing.worker.str()},
                  {"after_ms", std::to_string((now - taken_at_).count() / 1000)}});
-    place_soon();
+    schedule_placement();
 }
 
 // What could not be found may be started from now on.
 void flow_cell::note_accounted(instant now)
 {
-    if (awaited_.empty() || !all_accounted(now)) {
+    if (unreconciled_jobs_.empty() || !all_accounted(now)) {
         return;
     }
     const auto silent = std::count_if(workers_.begin(), workers_.end(),
@@ -115,19 +115,19 @@
     edges_.note(log_level::info, "cell", "accounted",
                 {{"cell", id_.str()},
                  {"epoch", std::to_string(epoch_.value())},
-                 {"jobs", std::to_string(awaited_.size())},
+                 {"jobs", std::to_string(unreconciled_jobs_.size())},
                  {"after_ms", std::to_string((now - taken_at_).count() / 1000)},
                  {"never_answered", std::to_string(silent)}});
-    for (const job_id& id : std::exchange(awaited_, {})) {
+    for (const job_id& id : std::exchange(unreconciled_jobs_, {})) {
         const auto found = jobs_.find(id);
         if (found != jobs_.end() && found->second->cancelled()) {
-            job_changed(now, *found->second, false); // nothing of it runs anywhere: it may be put away
+            mark_job_dirty(now, *found->second, false); // nothing of it runs anywhere: it may be put away
         }
         else if (found != jobs_.end()) {
             end_if_decided(now, *found->second);
         }
     }
-    place_soon();
+    schedule_placement();
 }
 
 void flow_cell::check_lapsed(instant now)
@@ -160,7 +160,7 @@
 // been followed: its follower renews the leases, and the row would tell that a run has ended which goes on.
 void flow_cell::bury_if_lapsed(instant now, cell_worker& w)
 {
-    if (!may_conclude(now)) {
+    if (!may_expire_leases(now)) {
         return;
     }
     const bool silent = w.silent > 0 && !w.holding && now - w.last_answer > lease && w.lapsed_after != instant{};
@@ -221,12 +221,12 @@
 bool flow_cell::superseded(instant now, cell_worker& w, order_result result)
 {
     if (result == order_result::fenced) {
-        lose(now, "a worker has seen a higher fencing token");
+        lose_ownership(now, "a worker has seen a higher fencing token");
         return true;
     }
     if (result == order_result::other_life) {
         life_ended(now, w);
-        place_soon();
+        schedule_placement();
         return true;
     }
     return false;
@@ -245,9 +245,9 @@
         return;
     }
     at->second.hold_planned = true;
-    edges_.after(wait, [this, id, life = life_](instant then) {
+    edges_.after(wait, [this, id, life = ownership_generation_](instant then) {
         const auto w = workers_.find(id);
-        if (life != life_ || w == workers_.end()) {
+        if (life != ownership_generation_ || w == workers_.end()) {
             return;
         }
         w->second.hold_planned = false;
@@ -262,7 +262,7 @@
         return;
     }
     cell_worker& w = at->second;
-    if (!may_hold(now)) {
+    if (!may_renew_leases(now)) {
         if (owns()) {
             hold_soon(now, id, hold_retry);
         }
@@ -285,12 +285,13 @@
         note_lease(w, now);
     }
     edges_.order(place_of(w), order, hold_timeout,
-                 [this, id, sent = now, wait = order.wait, life = life_](instant then, const order_answer& answer) {
-                     if (life == life_) {
+                 [this, id, sent = now, wait = order.wait, life = ownership_generation_](instant then,
+                                                                                         const order_answer& answer) {
+                     if (life == ownership_generation_) {
                          on_held(then, id, sent, wait, answer);
                          return;
                      }
-                     leave_listed_ends(answer); // asked by an owner that has been followed since
+                     persist_listed_ends(answer); // asked by an owner that has been followed since
                  });
 }
 
@@ -411,7 +412,7 @@
     take_measures(now, w, answer);
     if (first) {
         note_accounted(now);
-        place_soon();
+        schedule_placement();
     }
 }
 
@@ -423,7 +424,7 @@
         // An ended job's end tells nothing that is not durable already. Of any other its row must tell: a job that the
         // owner before was told of after this one had read the rows. Confirmed unread, its end would be forgotten and
         // the task start again once the row is come across.
-        if (put_away_.count(end.task.job) == 0) {
+        if (recently_ended_jobs_.count(end.task.job) == 0) {
             w.unknown.push_back(end);
             read_unknown_job(end.task.job);
         }
@@ -485,25 +486,25 @@
         if (out_of_attempts(*still->second, *task)) {
             end_job(now, *still->second, flow_state::failed);
         }
-        job_changed(now, *still->second, true);
+        mark_job_dirty(now, *still->second, true);
     }
     else if (job.dirty()) {
-        job_changed(now, job, false);
+        mark_job_dirty(now, job, false);
     }
 }
 
 void flow_cell::read_unknown_job(const job_id& job)
 {
-    if (reading_jobs_.try_emplace(job).second) {
+    if (job_reads_in_flight_.try_emplace(job).second) {
         ask_unknown_job(job);
     }
 }
 
 void flow_cell::ask_unknown_job(const job_id& job)
 {
-    reading_jobs_[job].told.clear();
-    edges_.read(index_rows(job), [this, job, life = life_](instant, const store_page& page) {
-        if (life == life_) {
+    job_reads_in_flight_[job].told.clear();
+    edges_.read(index_rows(job), [this, job, life = ownership_generation_](instant, const store_page& page) {
+        if (life == ownership_generation_) {
             on_unknown_index(job, page);
         }
     });
@@ -511,8 +512,8 @@
 
 void flow_cell::on_unknown_index(const job_id& job, const store_page& page)
 {
-    const auto again = [this, job, life = life_](instant) {
-        if (life == life_) {
+    const auto again = [this, job, life = ownership_generation_](instant) {
+        if (life == ownership_generation_) {
             ask_unknown_job(job);
         }
     };
@@ -522,12 +523,13 @@
     }
     const auto index = read_index(edges_, page.rows);
     const bool goes_on = index && index->outcome == 0;
-    read_rows(job, [this, job, again, index, goes_on, life = life_](instant then, const std::vector<store_row>* rows) {
+    read_rows(job, [this, job, again, index, goes_on,
+                    life = ownership_generation_](instant then, const std::vector<store_row>* rows) {
         if (rows == nullptr) {
             edges_.after(commit_retry, again);
             return;
         }
-        if (life != life_) {
+        if (life != ownership_generation_) {
             return;
         }
         if (index && !goes_on && jobs_.count(job) == 0) {
@@ -560,16 +562,16 @@
     for (const std::string& cell : cells) {
         hooks_.notify_cell_owner(now, {cell_id(cell), job, id_.str()}, index, newest);
     }
-    put_away_[job] = now;
-    remove_rows(now, job, keys_of(rows));
+    recently_ended_jobs_[job] = now;
+    schedule_row_removal(now, job, keys_of(rows));
 }
 
 // Workers may list runs of a job before its row is known. Left to the next exchange, a task whose worker has told what
 // it runs would seem to run nowhere, and start a second time.
 void flow_cell::adopt_strays(instant now, flow_job& job)
 {
-    const auto strays = reading_jobs_.find(job.id());
-    if (strays == reading_jobs_.end()) {
+    const auto strays = job_reads_in_flight_.find(job.id());
+    if (strays == job_reads_in_flight_.end()) {
         return;
     }
     for (const stray_run& stray : std::exchange(strays->second.strays, {})) {
@@ -586,17 +588,17 @@
         take_rows(now, job, rows);
     }
     const bool known = jobs_.count(job) != 0;
-    if (!known && !rows.empty() && !reading_jobs_[job].told.empty()) {
+    if (!known && !rows.empty() && !job_reads_in_flight_[job].told.empty()) {
         ask_unknown_job(job); // what was read does not concern this cell, what was told since may
         return;
     }
     take_unknown_ends(now, job);
-    const auto reading = reading_jobs_.extract(job);
+    const auto reading = job_reads_in_flight_.extract(job);
     if (reading.empty()) {
         return;
     }
     if (known) {
-        for (const told_row& told : reading.mapped().told) {
+        for (const reported_job_row& told : reading.mapped().told) {
             on_job_row(now, told.name, told.row, told.version);
         }
         return;
@@ -670,12 +672,12 @@
 // that a worker started late would go on for seconds.
 void flow_cell::take_stray(instant now, const cell_worker& w, const reported_run& run)
 {
-    if (put_away_.count(run.task.job) != 0) {
+    if (recently_ended_jobs_.count(run.task.job) != 0) {
         send_stop(now, w.listing.worker, run.task, run.run, 0);
         return;
     }
     read_unknown_job(run.task.job);
-    reading_jobs_[run.task.job].strays.insert({w.listing.worker, run.task, run.run});
+    job_reads_in_flight_[run.task.job].strays.insert({w.listing.worker, run.task, run.run});
 }
 
 // A run that an earlier owner started, or one of ours whose order was carried out late.
@@ -704,7 +706,7 @@
     if (persists_starts(step)) {
         job.note_start(run.task, w.listing.worker, run.run);
     }
-    job_changed(now, job, false);
+    mark_job_dirty(now, job, false);
     index_ready(job);
 }
 
--- a/src/flow_cells.cpp
+++ b/src/flow_cells.cpp
@@ -210,7 +210,7 @@
 {
     std::optional<row_version> known;
     for (const auto& [id, cell] : cells_) {
-        const auto of_cell = cell->jobs_known();
+        const auto of_cell = cell->job_watch_version();
         if (of_cell && (!known || *of_cell < *known)) {
             known = of_cell;
         }
@@ -232,7 +232,7 @@
                      watching_jobs_ = false;
                      if (page.history_compacted) {
                          for (auto& [id, cell] : cells_) {
-                             cell->on_job_history_gone(then);
+                             cell->on_job_history_compacted(then);
                          }
                      }
                      else if (page.reached) {
@@ -260,7 +260,7 @@
     take_news(now, after, page.rows);
     const row_version shown = shown_by(page, after);
     for (auto& [id, cell] : cells_) {
-        cell->on_jobs_watched(after, shown, page.more ? std::nullopt : std::optional(asked));
+        cell->on_job_watch_advanced(after, shown, page.more ? std::nullopt : std::optional(asked));
     }
     if (page.more && shown > after) {
         watch_jobs(now);
@@ -274,7 +274,7 @@
     for (const store_row& row : rows) {
         const job_row_name name = parse_job_row_key(row.key);
         const auto cell = cells_.find(name.cell);
-        if (row.removed || row.version <= after || cell == cells_.end() || !cell->second->jobs_known()) {
+        if (row.removed || row.version <= after || cell == cells_.end() || !cell->second->job_watch_version()) {
             continue;
         }
         ++newer;
@@ -298,10 +298,10 @@
     news_reading_ = {};
     news_reading_.asked = now;
     for (const auto& [id, cell] : cells_) {
-        if (cell->jobs_known()) {
+        if (cell->job_watch_version()) {
             news_reading_.cells[id] = cell->epoch();
         }
-        for (int part = 0; cell->jobs_known() && part < job_parts; ++part) {
+        for (int part = 0; cell->job_watch_version() && part < job_parts; ++part) {
             news_reading_.unread.emplace_back(id, cell_rows(news_table, id, job_part(part)));
         }
     }
@@ -348,7 +348,7 @@
 
 void flow_entry::on_news_read(instant now, const cell_id& id, store_range range, const store_page& page)
 {
-    const auto known = cells_.at(id)->jobs_known();
+    const auto known = cells_.at(id)->job_watch_version();
     if (!page.reached || !known) {
         news_reading_.whole = false; // the next round reads it
         return;
@@ -366,7 +366,7 @@
 // Who owns the cell and lives, as far as this entry knows; invalid: nobody.
 entry_id flow_entry::live_owner(instant now, const cell_id& id, const flow_cell& cell) const
 {
-    if (cell.goes_for_ownership()) {
+    if (cell.owns_or_is_taking_over()) {
         return self_.entry;
     }
     if (const peer* const told = owner_of(now, id)) {
--- a/src/flow_entry.cpp
+++ b/src/flow_entry.cpp
@@ -115,9 +115,9 @@
 {
     rank_cells(now);
     for (auto& [id, cell] : cells_) {
-        const bool owned = cell->goes_for_ownership();
+        const bool owned = cell->owns_or_is_taking_over();
         cell->tick(now, candidacy(now, *cell));
-        if (!owned && cell->goes_for_ownership()) {
+        if (!owned && cell->owns_or_is_taking_over()) {
             next_ranks_ = now;
             rank_cells(now);
         }
@@ -172,20 +172,24 @@
                                      [&](const flow_queue& q) { return q.name == name; });
         return at == config_->queues.end() ? nullptr : &*at;
     };
-    hooks.find_room = [this](instant now, const cell_id& from, const std::string& service, const flow_step& step,
-                             room_kind kind) { return find_room(now, from, service, step, kind); };
-    hooks.list_room = [this](instant now, const cell_id& from, const std::string& service, const flow_step& step) {
-        return list_room(now, from, service, step);
+    hooks.find_cell_with_room = [this](instant now, const cell_id& from, const std::string& service,
+                                       const flow_step& step,
+                                       room_kind kind) { return find_cell_with_room(now, from, service, step, kind); };
+    hooks.list_cells_with_room = [this](instant now, const cell_id& from, const std::string& service,
+                                        const flow_step& step) {
+        return list_cells_with_room(now, from, service, step);
     };
-    hooks.share_in_use = [this](instant now, const std::string& service) { return share_in_use(now, service); };
-    hooks.heard_count = [this](const cell_id& id) -> std::optional<pending_count> {
+    hooks.non_filling_cpu_share = [this](instant now, const std::string& service) {
+        return non_filling_cpu_share(now, service);
+    };
+    hooks.reported_pending_count = [this](const cell_id& id) -> std::optional<pending_count> {
         const timestamped_count* const heard = pending_.find(id);
         return heard == nullptr ? std::nullopt : std::optional(heard->count);
     };
     hooks.table_outage = [this](instant now, instant since) { return table_outage(now, since); };
     hooks.notify_cell_owner = [this](instant now, const job_row_name& name, const wire::flow_job_row& row,
                                      row_version version) { notify_cell_owner(now, name, row, version); };
-    hooks.state_changed = [this](instant now, const wire::flow_job_row& row, const job_id& job, flow_state state) {
+    hooks.publish_job_state = [this](instant now, const wire::flow_job_row& row, const job_id& job, flow_state state) {
         if (row.accepted_by == self_.address.str()) {
             note_state(now, job, state);
             return;
--- a/src/flow_entry_p.h
+++ b/src/flow_entry_p.h
@@ -167,11 +167,12 @@
     void notify_cell_owner(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
     void look_for_earlier_jobs(int part);
     void tell_owner(instant now, const job_row_name& name);
-    std::optional<std::pair<cell_id, epoch>> find_room(instant now, const cell_id& from, const std::string& service,
-                                                       const flow_step& step, room_kind kind);
-    double share_in_use(instant now, const std::string& service);
-    std::vector<flow_cell_room> list_room(instant now, const cell_id& from, const std::string& service,
-                                          const flow_step& step);
+    std::optional<std::pair<cell_id, epoch>> find_cell_with_room(instant now, const cell_id& from,
+                                                                 const std::string& service, const flow_step& step,
+                                                                 room_kind kind);
+    double non_filling_cpu_share(instant now, const std::string& service);
+    std::vector<flow_cell_room> list_cells_with_room(instant now, const cell_id& from, const std::string& service,
+                                                     const flow_step& step);
     void tell_states();
 
     // flow_entry_pending.cpp
--- a/src/flow_front.cpp
+++ b/src/flow_front.cpp
@@ -515,10 +515,10 @@
         return;
     }
     const auto own = cells_.find(name.cell);
-    if (own != cells_.end() && own->second->owns() && !own->second->takes_news()) {
+    if (own != cells_.end() && own->second->owns() && !own->second->accepts_job_news()) {
         return; // tick() tries again
     }
-    if (own != cells_.end() && own->second->takes_news()) {
+    if (own != cells_.end() && own->second->accepts_job_news()) {
         const untold_row row = std::move(at->second);
         untold_.erase(at);
         own->second->on_job_row(now, name, row.row, row.version);
@@ -553,9 +553,9 @@
 
 // The cell that has most left, or for a lasting task where most of its image serves, with a worker that one more task
 // of the step fits on.
-std::optional<std::pair<cell_id, epoch>> flow_entry::find_room(instant now, const cell_id& from,
-                                                               const std::string& service, const flow_step& step,
-                                                               room_kind kind)
+std::optional<std::pair<cell_id, epoch>> flow_entry::find_cell_with_room(instant now, const cell_id& from,
+                                                                         const std::string& service,
+                                                                         const flow_step& step, room_kind kind)
 {
     const wire::flow_cell_news* best = nullptr;
     std::int64_t best_score = 0;
@@ -617,8 +617,8 @@
 }
 
 // Of memory a cell tells only how much its emptiest worker has: its owner may find room for fewer.
-std::vector<flow_cell_room> flow_entry::list_room(instant now, const cell_id& from, const std::string& service,
-                                                  const flow_step& step)
+std::vector<flow_cell_room> flow_entry::list_cells_with_room(instant now, const cell_id& from,
+                                                             const std::string& service, const flow_step& step)
 {
     flow_wants wants;
     wants.tasks = step.count;
@@ -641,7 +641,7 @@
     return rooms;
 }
 
-double flow_entry::share_in_use(instant now, const std::string& service)
+double flow_entry::non_filling_cpu_share(instant now, const std::string& service)
 {
     std::int64_t total = 0;
     std::int64_t free = 0;
--- a/src/flow_peers.cpp
+++ b/src/flow_peers.cpp
@@ -196,7 +196,7 @@
             continue;
         }
         const auto cell = cells_.find(cell_id(news.cell));
-        if (cell == cells_.end() || !cell->second->takes_news()) {
+        if (cell == cells_.end() || !cell->second->accepts_job_news()) {
             answer.unknown_jobs.push_back(news.job);
             continue;
         }
