--- a/src/flow_cell_commit.cpp
+++ b/src/flow_cell_commit.cpp
@@ -64,7 +64,7 @@
             continue;
         }
         flow_job& job = *found->second;
-        if (job.is_home_cell() && job.cancelled() && !job.ended() && !job.running() && all_accounted(now)) {
+        if (job.is_home_cell() && job.cancelled() && !job.ended() && !job.running() && all_workers_reconciled(now)) {
             job.note_outcome(flow_state::cancelled);
         }
         if (!job.dirty()) {
@@ -208,7 +208,7 @@
                 schedule_placement(); // some of its tasks wait for this write
             }
             send_noted(now, job);
-            tell_others(now, row, result.version);
+            notify_other_cells(now, row, result.version);
             after_written(now, job);
         }
         confirm_all(now);
--- a/src/flow_cell_crashes.cpp
+++ b/src/flow_cell_crashes.cpp
@@ -29,11 +29,11 @@
     std::vector<lost_run> lost;
     instant newest{};
     for (const auto& [task, run] : w.ledger) {
-        const run_lookup parts = locate(w.listing.worker, task, run.run);
+        const run_lookup parts = look_up_run(w.listing.worker, task, run.run);
         newest = parts.live == nullptr ? newest : std::max(newest, parts.live->started);
     }
     for (const auto& [task, run] : w.ledger) {
-        const run_lookup parts = locate(w.listing.worker, task, run.run);
+        const run_lookup parts = look_up_run(w.listing.worker, task, run.run);
         if (parts.live == nullptr) {
             continue;
         }
@@ -53,7 +53,7 @@
 void flow_cell::charge_runs(instant now, const worker_id& worker, const std::vector<lost_run>& lost)
 {
     for (const lost_run& run : pick_noted(lost)) {
-        note_crash_under(now, worker, run);
+        record_crash(now, worker, run);
     }
 }
 
@@ -82,7 +82,7 @@
     return crash;
 }
 
-void flow_cell::note_crash_under(instant now, const worker_id& worker, const lost_run& lost)
+void flow_cell::record_crash(instant now, const worker_id& worker, const lost_run& lost)
 {
     const auto crash = add_crash_row(now, worker, lost);
     if (!crash) {
@@ -117,7 +117,7 @@
                     lost_run lost{job->task_id(stage, i), run_number(task.start.run), {}};
                     lost.in_crash.age = start_only_run_age;
                     lost.in_crash.charged = true;
-                    note_crash_under(now, worker, lost);
+                    record_crash(now, worker, lost);
                 }
             }
         }
@@ -136,13 +136,13 @@
 }
 
 // A worker that does not answer may have crashed, or be cut off. Which it was shows when its address is heard of again.
-void flow_cell::remember_lapsed(instant now, const cell_worker& w)
+void flow_cell::record_lapsed_worker(instant now, const cell_worker& w)
 {
     std::erase_if(lapsed_workers_, [now](const auto& l) { return now - l.second.at > lapsed_retention; });
     if (w.ledger.empty() || w.listing.draining) {
         return;
     }
-    lapsed_life& life = lapsed_workers_[w.listing.address];
+    lapsed_worker& life = lapsed_workers_[w.listing.address];
     life = {w.listing.worker, list_lost_runs(w), now};
     // Its tasks are started elsewhere before its next life is heard of.
     for (const lost_run& run : life.runs) {
@@ -152,13 +152,13 @@
     }
     for (const auto& [id, other] : workers_) {
         if (other.listed && other.listing.address == w.listing.address && id != w.listing.worker) {
-            charge_lapsed(now, other.listing);
+            charge_lapsed_worker(now, other.listing);
             return;
         }
     }
 }
 
-void flow_cell::charge_lapsed(instant now, const flow_listed_worker& listing)
+void flow_cell::charge_lapsed_worker(instant now, const flow_listed_worker& listing)
 {
     const auto at = lapsed_workers_.find(listing.address);
     if (at == lapsed_workers_.end()) {
@@ -169,13 +169,13 @@
         schedule_placement(); // a job may have to be given up
     }
     else {
-        forget_lapsed(at->second);
+        retract_lapsed_crashes(at->second);
     }
     lapsed_workers_.erase(at);
 }
 
 // It was cut off and has not crashed.
-void flow_cell::forget_lapsed(const lapsed_life& life)
+void flow_cell::retract_lapsed_crashes(const lapsed_worker& life)
 {
     for (const lost_run& run : life.runs) {
         const auto found = jobs_.find(run.task.job);
@@ -204,16 +204,16 @@
 // --- starting alone ---
 
 // What it had saved may be what crashes its workers.
-bool flow_cell::starts_anew(const flow_job& job, const flow_stage& stage, const flow_task& task)
+bool flow_cell::starts_without_checkpoint(const flow_job& job, const flow_stage& stage, const flow_task& task)
 {
     return job.step(stage).gang ? std::any_of(stage.tasks.begin(), stage.tasks.end(),
                                               [](const flow_task& t) { return t.may_crash_workers(); })
                                 : task.may_crash_workers();
 }
 
-bool flow_cell::is_kept(instant now, const cell_worker& w)
+bool flow_cell::is_dedicated(instant now, const cell_worker& w)
 {
-    return w.kept_for && now < w.kept_until;
+    return w.dedicated_to && now < w.dedicated_until;
 }
 
 // Nothing that was started there may still be about to crash it.
@@ -221,7 +221,7 @@
 {
     return std::all_of(w.ledger.begin(), w.ledger.end(), [&](const auto& held) {
         const auto& [task, run] = held;
-        const live_run* const live = locate(w.listing.worker, task, run.run).live;
+        const live_run* const live = look_up_run(w.listing.worker, task, run.run).live;
         return live == nullptr || (live->confirmed && now - live->started >= alone_settle);
     });
 }
@@ -237,24 +237,24 @@
 }
 
 // Of work that ends, one task of a job begins alone at a time: the first shows enough.
-bool flow_cell::is_one_beginning(instant now, const flow_job& job)
+bool flow_cell::has_unsettled_dedicated_run(instant now, const flow_job& job)
 {
     return std::any_of(workers_.begin(), workers_.end(), [&](const auto& named) {
         const cell_worker& w = named.second;
-        return is_kept(now, w) && w.kept_for->job == job.id() && !is_settled_on(now, w);
+        return is_dedicated(now, w) && w.dedicated_to->job == job.id() && !is_settled_on(now, w);
     });
 }
 
-flow_cell::cell_worker* flow_cell::find_kept(instant now, const flow_task_id& task)
+flow_cell::cell_worker* flow_cell::find_dedicated(instant now, const flow_task_id& task)
 {
     const auto at = std::find_if(workers_.begin(), workers_.end(), [&](const auto& named) {
-        return is_kept(now, named.second) && *named.second.kept_for == task;
+        return is_dedicated(now, named.second) && *named.second.dedicated_to == task;
     });
     return at == workers_.end() ? nullptr : &at->second;
 }
 
 // Of the workers that will do, the one where least would be lost.
-flow_cell::cell_worker* flow_cell::choose_to_keep(instant now, const flow_job& job, const flow_stage& stage)
+flow_cell::cell_worker* flow_cell::choose_to_dedicate(instant now, const flow_job& job, const flow_stage& stage)
 {
     const auto value = [](const cell_worker& w) {
         const auto lasting =
@@ -264,9 +264,10 @@
     const flow_step& step = job.step(stage);
     cell_worker* best = nullptr;
     for (auto& [id, w] : workers_) {
-        const bool usable = takes_starts(now, w) && !is_kept(now, w) && w.listing.service == job.row().service_name &&
-                            has_label(w.listing.labels, step.label) && has_room(option_of(now, w), step) &&
-                            (step.per_worker_most == 0 || count_beside(w, job, stage) < step.per_worker_most);
+        const bool usable = is_schedulable(now, w) && !is_dedicated(now, w) &&
+                            w.listing.service == job.row().service_name && has_label(w.listing.labels, step.label) &&
+                            has_room(option_of(now, w), step) &&
+                            (step.per_worker_most == 0 || count_stage_runs(w, job, stage) < step.per_worker_most);
         if (usable && (best == nullptr || value(w) < value(*best))) {
             best = &w;
         }
@@ -275,49 +276,49 @@
 }
 
 // A worker to itself, once nothing has been started there for a while; null until then.
-flow_cell::cell_worker* flow_cell::choose_alone(instant now, const flow_job& job, const flow_stage& stage,
-                                                const flow_task_id& id)
+flow_cell::cell_worker* flow_cell::choose_dedicated(instant now, const flow_job& job, const flow_stage& stage,
+                                                    const flow_task_id& id)
 {
     isolated_task_waits_ = true;
-    cell_worker* w = find_kept(now, id);
+    cell_worker* w = find_dedicated(now, id);
     const flow_step& step = job.step(stage);
-    if (w == nullptr && (step.lasting || step.gang || !is_one_beginning(now, job))) {
-        w = choose_to_keep(now, job, stage);
+    if (w == nullptr && (step.lasting || step.gang || !has_unsettled_dedicated_run(now, job))) {
+        w = choose_to_dedicate(now, job, stage);
         if (w == nullptr) {
             return nullptr;
         }
-        w->kept_for = id;
-        w->kept_until = now + alone_wait_most;
+        w->dedicated_to = id;
+        w->dedicated_until = now + alone_wait_most;
     }
     const bool ready =
-        w != nullptr && takes_starts(now, *w) && is_settled_on(now, *w) && has_room(option_of(now, *w), step);
+        w != nullptr && is_schedulable(now, *w) && is_settled_on(now, *w) && has_room(option_of(now, *w), step);
     return ready ? w : nullptr;
 }
 
 // Where too many are kept for others already, a task that lasts is missed the sooner: it starts beside others, and a
 // crash is not charged to it.
-bool flow_cell::starts_alone(instant now, const flow_step& step, const flow_task& task) const
+bool flow_cell::needs_dedicated_worker(instant now, const flow_step& step, const flow_task& task) const
 {
     if (!task.may_crash_workers() || !step.lasting) {
         return task.may_crash_workers();
     }
     const auto kept_for_others = std::count_if(workers_.begin(), workers_.end(), [&](const auto& named) {
         const cell_worker& w = named.second;
-        const auto found = is_kept(now, w) ? jobs_.find(w.kept_for->job) : jobs_.end();
-        return found != jobs_.end() && found->second->find_task(*w.kept_for) != &task;
+        const auto found = is_dedicated(now, w) ? jobs_.find(w.dedicated_to->job) : jobs_.end();
+        return found != jobs_.end() && found->second->find_task(*w.dedicated_to) != &task;
     });
     return kept_for_others < static_cast<std::int64_t>(kept_share_most * static_cast<double>(workers_.size())) + 1;
 }
 
 // The moment of a crash is known the better the more often the worker is asked.
-bool flow_cell::is_watched(instant now, const cell_worker& w)
+bool flow_cell::needs_frequent_polling(instant now, const cell_worker& w)
 {
-    return is_kept(now, w) && !is_settled_on(now, w);
+    return is_dedicated(now, w) && !is_settled_on(now, w);
 }
 
-void flow_cell::begin_alone(instant now, cell_worker& w, const flow_task& task)
+void flow_cell::begin_dedicated_run(instant now, cell_worker& w, const flow_task& task)
 {
-    w.kept_until = now + time_alone(longest_age(task.crash_rows()));
+    w.dedicated_until = now + time_alone(longest_age(task.crash_rows()));
 }
 
 } // namespace skylarkhub
--- a/src/flow_cell_drain.cpp
+++ b/src/flow_cell_drain.cpp
@@ -34,7 +34,7 @@
     std::size_t moved = 0; // to other cells
     kept_in_round_ = 0;
     for (const auto& [id, run] : w.ledger) {
-        const auto [worker, job, task, live] = locate(w.listing.worker, id, run.run);
+        const auto [worker, job, task, live] = look_up_run(w.listing.worker, id, run.run);
         if (!run.lasting || live == nullptr || !live->confirmed || live->stopping || task->runs.size() != 1) {
             continue;
         }
@@ -43,7 +43,7 @@
             continue;
         }
         const flow_step& step = job->step(stage);
-        if (cell_worker* const place = choose(now, *job, stage, *task)) {
+        if (cell_worker* const place = choose_worker(now, *job, stage, *task)) {
             ledger_add(*place, step, id, run_number());
             promised.emplace_back(place, id);
         }
--- a/src/flow_cell_gangs.cpp
+++ b/src/flow_cell_gangs.cpp
@@ -134,7 +134,7 @@
 {
     std::vector<std::pair<std::size_t, cell_worker*>> chosen;
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
-        cell_worker* const w = choose(now, job, stage, stage.tasks[i]);
+        cell_worker* const w = choose_worker(now, job, stage, stage.tasks[i]);
         if (w == nullptr) {
             break;
         }
--- a/src/flow_cell_log.cpp
+++ b/src/flow_cell_log.cpp
@@ -38,7 +38,7 @@
     }
     const flow_step& step = job.step(stage);
     const bool usable = std::any_of(workers_.begin(), workers_.end(), [&](const auto& w) {
-        return takes_starts(now, w.second) && w.second.listing.service == job.row().service_name &&
+        return is_schedulable(now, w.second) && w.second.listing.service == job.row().service_name &&
                has_label(w.second.listing.labels, step.label);
     });
     return {usable ? task_wait_reason::no_room : task_wait_reason::no_worker, worker_id()};
--- a/src/flow_cell_moves.cpp
+++ b/src/flow_cell_moves.cpp
@@ -82,7 +82,7 @@
         const flow_task& task = stage.tasks[i];
         if (task.stage != flow_task_state::ready || !task.runs.empty() || !may_start(job, stage, task) ||
             now - task.ready_since < wait_before_move(step, task) ||
-            (task.may_crash_workers() && find_kept(now, job.task_id(stage, i)) != nullptr)) {
+            (task.may_crash_workers() && find_dedicated(now, job.task_id(stage, i)) != nullptr)) {
             continue;
         }
         const auto to = find_place_elsewhere(now, job, stage);
@@ -114,10 +114,10 @@
 bool flow_cell::is_reservable(const cell_worker& w, const flow_job& job, const flow_stage& stage)
 {
     const flow_step& step = job.step(stage);
-    if (step.per_worker_most > 0 && count_beside(w, job, stage) >= step.per_worker_most) {
+    if (step.per_worker_most > 0 && count_stage_runs(w, job, stage) >= step.per_worker_most) {
         return false;
     }
-    const bool usable = w.listed && w.named && w.fenced && !w.listing.draining && w.silent == 0 && !w.kept_for &&
+    const bool usable = w.listed && w.named && w.fenced && !w.listing.draining && w.silent == 0 && !w.dedicated_to &&
                         w.listing.service == job.row().service_name && has_label(w.listing.labels, step.label);
     const resources lasting{w.lasting_cpu, w.lasting_memory, 0};
     return usable && fits(lasting + step.need, w.listing.room);
--- a/src/flow_cell_ownership.cpp
+++ b/src/flow_cell_ownership.cpp
@@ -132,7 +132,7 @@
         schedule_placement();
     }
     std::erase_if(recently_ended_jobs_, [&](const auto& job) { return now - job.second > ended_job_retention; });
-    tick_timed(now);
+    open_due_stages(now);
     if (now >= next_summary_) {
         next_summary_ = now + summary_interval;
         log_summary(now);
@@ -315,7 +315,7 @@
     // Failure: the rows of many jobs take a small entry several seconds. Symptom: nobody renews a lease meanwhile, and
     // all that runs in the cell lapses. So the workers are asked from now on; what they tell waits for the rows.
     for (auto& [id, w] : workers_) {
-        hold_soon(now, id, duration(0));
+        schedule_hold(now, id, duration(0));
     }
     read_all_jobs(now);
 }
@@ -496,7 +496,7 @@
             return name.is_own() || name == accepted_row(id_, name.job);
         });
         if (goes_on || jobs_.count(job) != 0) {
-            take_rows(now, job, of_job);
+            process_job_rows(now, job, of_job);
         }
         else {
             read_unknown_job(job);
@@ -536,9 +536,9 @@
     }
     // The owner before no longer named such a worker: it had heard of its end.
     charge_noted(now, [this](const worker_id& id) { return workers_.count(id) == 0; });
-    take_early_inventories(now);
+    process_buffered_inventories(now);
     for (auto& [id, w] : workers_) {
-        hold_soon(now, id, duration(0));
+        schedule_hold(now, id, duration(0));
     }
     schedule_placement();
 }
@@ -562,8 +562,9 @@
         wire::flow_worker_name name;
         name.worker = id.str();
         name.address = w.listing.address.str();
-        name.silent = (table_answers && w.silent >= max_unanswered_holds) || (w.told_silent && !w.is_asked());
-        w.told_silent = w.told_silent || name.silent;
+        name.silent =
+            (table_answers && w.silent >= max_unanswered_holds) || (w.published_silent && !w.has_accepted_epoch());
+        w.published_silent = w.published_silent || name.silent;
         if (name.silent || releasing) {
             name.lease_left_ms = whole_ms(std::max(duration(0), w.lapsed_after - now));
         }
@@ -576,13 +577,13 @@
 {
     for (auto& [id, w] : workers_) {
         w.named = false;
-        w.told_silent = false;
+        w.published_silent = false;
     }
     for (const wire::flow_worker_name& name : row.workers) {
         const auto at = workers_.find(worker_id(name.worker));
         if (at != workers_.end()) {
             at->second.named = true;
-            at->second.told_silent = name.silent;
+            at->second.published_silent = name.silent;
         }
     }
 }
@@ -592,12 +593,12 @@
 void flow_cell::know_named(const wire::flow_cell_row& row)
 {
     for (auto& [id, w] : workers_) {
-        w.told_silent = false;
+        w.published_silent = false;
     }
     for (const wire::flow_worker_name& name : row.workers) {
         const auto [at, added] = workers_.try_emplace(worker_id(name.worker));
         at->second.inherited = true;
-        at->second.told_silent = name.silent;
+        at->second.published_silent = name.silent;
         if (added) {
             at->second.listing.worker = worker_id(name.worker);
             at->second.listing.address = net_address(name.address);
--- a/src/flow_cell_p.h
+++ b/src/flow_cell_p.h
@@ -135,7 +135,7 @@
     // What peers are told; only of an owner.
     wire::flow_cell_news news(instant now) const;
     // The same for a hello: made anew every news_cache_ttl only, with presses in some of them.
-    const wire::flow_cell_news& told_news(instant now);
+    const wire::flow_cell_news& cached_news(instant now);
     // What the owner of another cell has learned of images.
     void hint_presses(const std::map<std::string, double>& presses);
     // The jobs that wait here. Empty while the rows are read, and when this owner may have been followed without
@@ -156,29 +156,29 @@
         int image = 0;
         std::int32_t tasks = 0;
         double tolerated_pressure =
-            0;                  // pressure of filling work that leaves their tails below target, at their load now
-        double bears_usual = 0; // the same over the next seconds: for work that stays
+            0; // pressure of filling work that leaves their tails below target, at their load now
+        double mean_tolerated_pressure = 0; // the same over the next seconds: for work that stays
     };
     // What a worker told before the rows of the cell's jobs had been read.
-    struct early_inventory {
+    struct buffered_inventory {
         instant sent{};
         order_answer answer;
     };
     struct cell_worker {
         flow_listed_worker listing;
         bool listed = false;
-        bool over = false;                    // another life answers at its address, whatever the list says
-        bool named = false;                   // in the cell's row as it stands in the table
-        bool fenced = false;                  // accepted this epoch and told what runs
-        bool inherited = false;               // the owner before may have started tasks there
-        std::optional<early_inventory> early; // while the rows are read: it has accepted this epoch
-        bool is_asked() const { return fenced || early; }
-        bool lapsed = false;      // not asked yet, and every lease that owners before gave has certainly ended
-        bool told_silent = false; // the cell's row may say so: no lease is given to it
+        bool incarnation_ended = false;          // another life answers at its address, whatever the list says
+        bool named = false;                      // in the cell's row as it stands in the table
+        bool fenced = false;                     // accepted this epoch and told what runs
+        bool inherited = false;                  // the owner before may have started tasks there
+        std::optional<buffered_inventory> early; // while the rows are read: it has accepted this epoch
+        bool has_accepted_epoch() const { return fenced || early; }
+        bool lapsed = false;           // not asked yet, and every lease that owners before gave has certainly ended
+        bool published_silent = false; // the cell's row may say so: no lease is given to it
         std::optional<worker_time> reading;
-        instant read_at{};
-        instant lapsed_after{}; // by then every lease given by this cell's owners has certainly ended
-        bool holding = false;   // a hold is under way
+        instant clock_read_at{};
+        instant lapsed_after{};      // by then every lease given by this cell's owners has certainly ended
+        bool hold_in_flight = false; // a hold is under way
         bool hold_planned = false;
         instant last_answer{};
         std::int32_t silent = 0;    // holds without an answer in a row
@@ -186,9 +186,9 @@
         end_number seen;
         end_number confirmed;
         std::vector<unconfirmed_end> unconfirmed;
-        std::vector<reported_end> unknown; // of jobs that are not known; their rows are being read
+        std::vector<reported_end> unknown_job_ends; // of jobs that are not known; their rows are being read
         absl::btree_map<flow_task_id, ledger_run> ledger;
-        std::int32_t strangers = 0; // runs it lists that the ledger does not have
+        std::int32_t untracked_runs = 0; // runs it lists that the ledger does not have
         resources held;
         std::int64_t filling_cpu = 0;
         std::int32_t serving = 0;
@@ -203,17 +203,17 @@
         std::vector<int> paces;                    // percent, by filling image
         instant measured_at{};
         instant tightened_at{};
-        instant over_since{}; // a serving task has been over its target since; instant{}: none is
-        double margin = 1;    // of what serving tasks are believed to bear; less after a strain
-        double tail = 0;      // the worst there at the newest look, as a share of its target
+        instant over_target_since{}; // a serving task has been over its target since; instant{}: none is
+        double tolerance_margin = 1; // of what serving tasks are believed to bear; less after a strain
+        double tail = 0;             // the worst there at the newest look, as a share of its target
         instant next_evict{};
         std::int64_t lasting_cpu = 0; // committed to lasting tasks, which use less than half of it on the whole
         std::int64_t lasting_memory = 0;
         instant reserved_until{};      // for a lasting task that waits: nothing else is started there
         std::uint64_t reserved_in = 0; // the pass over waiting tasks in which it was reserved last
         bool is_reserved(instant now) const { return now < reserved_until; }
-        std::optional<flow_task_id> kept_for; // a task that may crash it: nothing else is started there
-        instant kept_until{};
+        std::optional<flow_task_id> dedicated_to; // a task that may crash it: nothing else is started there
+        instant dedicated_until{};
         std::map<flow_task_id, std::int32_t> paced;
     };
 
@@ -289,44 +289,44 @@
     void read_row(instant now);
 
     // flow_cell_workers.cpp
-    void hold_soon(instant now, const worker_id& id, duration wait);
+    void schedule_hold(instant now, const worker_id& id, duration wait);
     void send_hold(instant now, const worker_id& id);
-    void on_held(instant now, const worker_id& id, instant sent, duration wait, const order_answer& answer);
-    void take_early_inventories(instant now);
-    void take_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer);
-    void take_end(instant now, cell_worker& w, const reported_end& end);
+    void on_hold_result(instant now, const worker_id& id, instant sent, duration wait, const order_answer& answer);
+    void process_buffered_inventories(instant now);
+    void process_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer);
+    void process_end(instant now, cell_worker& w, const reported_end& end);
     void leave_ends(const job_id& job, const std::vector<reported_end>& ends);
     void persist_listed_ends(const order_answer& answer);
     void leave_unwritten_ends();
     void read_unknown_job(const job_id& job);
     void ask_unknown_job(const job_id& job);
-    void take_unknown_ends(instant now, const job_id& job);
-    void take_running(instant now, cell_worker& w, const reported_run& run);
-    void take_stray(instant now, const cell_worker& w, const reported_run& run);
-    void adopt_strays(instant now, flow_job& job);
-    void tell_ended(instant now, const job_id& job, const wire::flow_job_row& index,
-                    const std::vector<store_row>& rows);
+    void process_unknown_ends(instant now, const job_id& job);
+    void process_running(instant now, cell_worker& w, const reported_run& run);
+    void process_stray_run(instant now, const cell_worker& w, const reported_run& run);
+    void adopt_stray_runs(instant now, flow_job& job);
+    void notify_job_ended(instant now, const job_id& job, const wire::flow_job_row& index,
+                          const std::vector<store_row>& rows);
     void on_unknown_index(const job_id& job, const store_page& page);
     void on_unknown_job(instant now, const job_id& job, const std::vector<store_row>& rows);
-    void adopt(instant now, cell_worker& w, flow_job& job, const reported_run& run);
-    void find_missing(instant now, cell_worker& w, instant sent, const order_answer& answer);
+    void adopt_run(instant now, cell_worker& w, flow_job& job, const reported_run& run);
+    void drop_vanished_runs(instant now, cell_worker& w, instant sent, const order_answer& answer);
     void confirm_ends(cell_worker& w);
-    enum class life_end : std::uint8_t { crashed, lapsed };
-    void life_ended(instant now, cell_worker& w);
+    enum class worker_loss_cause : std::uint8_t { crashed, lapsed };
+    void on_incarnation_ended(instant now, cell_worker& w);
     void note_lapsed(instant now, cell_worker& w);
-    void bury_if_lapsed(instant now, cell_worker& w);
-    void worker_died(instant now, cell_worker& w, life_end how);
+    void declare_lost_if_lapsed(instant now, cell_worker& w);
+    void on_worker_lost(instant now, cell_worker& w, worker_loss_cause how);
     void log_lost_run(instant now, const cell_worker& w, const flow_task_id& task, run_number run) const;
-    bool superseded(instant now, cell_worker& w, order_result result);
+    bool handle_fatal_result(instant now, cell_worker& w, order_result result);
     // Nothing is left to do there: it is not in use, and nothing is known to run.
     static bool is_idle_and_unlisted(const cell_worker& w);
     void check_lapsed(instant now);
     std::optional<worker_time> lease_end(const cell_worker& w, instant now) const;
     void note_lease(cell_worker& w, instant now) const;
-    static void note_asked(cell_worker& w, instant now);
+    static void note_epoch_accepted(cell_worker& w, instant now);
     worker_place place_of(const cell_worker& w) const { return {w.listing.worker, w.listing.address}; }
-    bool all_accounted(instant now) const;
-    void note_accounted(instant now);
+    bool all_workers_reconciled(instant now) const;
+    void finish_reconciliation(instant now);
     void distrust(instant now, cell_worker& w, double amount);
 
     // flow_cell_crashes.cpp
@@ -336,7 +336,7 @@
         run_in_crash in_crash;
     };
     // What was lost on a worker whose leases have ended, and which may have crashed.
-    struct lapsed_life {
+    struct lapsed_worker {
         worker_id worker;
         std::vector<lost_run> runs;
         instant at{};
@@ -346,23 +346,23 @@
     std::vector<lost_run> list_lost_runs(const cell_worker& w);
     void charge_runs(instant now, const worker_id& worker, const std::vector<lost_run>& lost);
     std::optional<wire::crash_row> add_crash_row(instant now, const worker_id& worker, const lost_run& lost);
-    void note_crash_under(instant now, const worker_id& worker, const lost_run& lost);
+    void record_crash(instant now, const worker_id& worker, const lost_run& lost);
     void charge_noted(instant now, const std::function<bool(const worker_id&)>& is_over);
     void charge_crash_of(instant now, const cell_worker& w);
-    void remember_lapsed(instant now, const cell_worker& w);
-    void forget_lapsed(const lapsed_life& life);
-    void charge_lapsed(instant now, const flow_listed_worker& listing);
+    void record_lapsed_worker(instant now, const cell_worker& w);
+    void retract_lapsed_crashes(const lapsed_worker& life);
+    void charge_lapsed_worker(instant now, const flow_listed_worker& listing);
     void log_given_up(const flow_job& job) const;
-    bool starts_alone(instant now, const flow_step& step, const flow_task& task) const;
-    static bool starts_anew(const flow_job& job, const flow_stage& stage, const flow_task& task);
-    static bool is_kept(instant now, const cell_worker& w);
+    bool needs_dedicated_worker(instant now, const flow_step& step, const flow_task& task) const;
+    static bool starts_without_checkpoint(const flow_job& job, const flow_stage& stage, const flow_task& task);
+    static bool is_dedicated(instant now, const cell_worker& w);
     bool is_settled_on(instant now, const cell_worker& w);
-    bool is_watched(instant now, const cell_worker& w);
-    bool is_one_beginning(instant now, const flow_job& job);
-    cell_worker* find_kept(instant now, const flow_task_id& task);
-    cell_worker* choose_to_keep(instant now, const flow_job& job, const flow_stage& stage);
-    cell_worker* choose_alone(instant now, const flow_job& job, const flow_stage& stage, const flow_task_id& id);
-    static void begin_alone(instant now, cell_worker& w, const flow_task& task);
+    bool needs_frequent_polling(instant now, const cell_worker& w);
+    bool has_unsettled_dedicated_run(instant now, const flow_job& job);
+    cell_worker* find_dedicated(instant now, const flow_task_id& task);
+    cell_worker* choose_to_dedicate(instant now, const flow_job& job, const flow_stage& stage);
+    cell_worker* choose_dedicated(instant now, const flow_job& job, const flow_stage& stage, const flow_task_id& id);
+    static void begin_dedicated_run(instant now, cell_worker& w, const flow_task& task);
 
     // flow_cell_start_records.cpp
     bool may_start(const flow_job& job, const flow_stage& stage, const flow_task& task) const;
@@ -383,7 +383,7 @@
         flow_task* task = nullptr;
         live_run* live = nullptr;
     };
-    run_lookup locate(const worker_id& id, const flow_task_id& task, run_number run);
+    run_lookup look_up_run(const worker_id& id, const flow_task_id& task, run_number run);
     void send_start(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries);
     void on_started(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries,
                     const order_answer& answer);
@@ -395,28 +395,28 @@
     void stop_run_once(instant now, live_run& live, const flow_task_id& id);
     void drop_run(instant now, cell_worker& w, const flow_task_id& task, run_number run);
     void ledger_add(cell_worker& w, const flow_step& step, const flow_task_id& task, run_number run);
-    void count_run(cell_worker& w, const job_id& job, const ledger_run& run, int change);
+    void adjust_usage(cell_worker& w, const job_id& job, const ledger_run& run, int change);
     void ledger_remove(cell_worker& w, const flow_task_id& task, run_number run);
-    void hasten(instant now, cell_worker& w, flow_job& job, ledger_run& run, const reported_run& seen);
+    void mitigate_straggler(instant now, cell_worker& w, flow_job& job, ledger_run& run, const reported_run& seen);
     void start_on(instant now, flow_job& job, flow_stage& stage, std::size_t index, cell_worker& w, run_number run);
     void confirm_start(instant now, flow_job& job, live_run& live);
-    void take_back_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
-                         int tries);
+    void withdraw_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
+                        int tries);
     void requeue(instant now, flow_job& job, const flow_task_id& task);
     void after_done(instant now, flow_job& job, const flow_task_id& task);
     bool out_of_attempts(const flow_job& job, const flow_task& task) const;
-    bool has_spent_task(const flow_job& job) const;
+    bool has_exhausted_task(const flow_job& job) const;
     void end_job(instant now, flow_job& job, flow_state outcome);
     void note_demand(instant now, const flow_job& job);
     std::unique_ptr<flow_job> read_job(const job_id& id, const std::vector<store_row>& rows) const;
-    void take_rows(instant now, const job_id& id, const std::vector<store_row>& rows);
+    void process_job_rows(instant now, const job_id& id, const std::vector<store_row>& rows);
     void schedule_row_removal(instant now, const job_id& id, std::vector<store_key> keys);
     void read_rows(const job_id& job, std::function<void(instant, const std::vector<store_row>*)> done);
     void on_new_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
     void adopt_job(instant now, std::unique_ptr<flow_job> made);
     void end_if_decided(instant now, flow_job& job);
     void mark_job_dirty(instant now, flow_job& job, bool urgent);
-    bool deposed_by(instant now, const flow_job& job);
+    bool step_down_if_superseded(instant now, const flow_job& job);
     void forget_job(instant now, job_id id);
 
     // flow_cell_placing.cpp
@@ -425,16 +425,17 @@
     bool place_stage(instant now, flow_job& job, flow_stage& stage);
     // `near`: the rack where the rest of a gang is; invalid: none. `patience`: how long filling work waits for a place
     // that bears it.
-    cell_worker* choose(instant now, const flow_job& job, const flow_stage& stage, const flow_task& task,
-                        const rack_id& near = rack_id(), duration patience = flow_limits::fill_interference_wait);
+    cell_worker* choose_worker(instant now, const flow_job& job, const flow_stage& stage, const flow_task& task,
+                               const rack_id& near = rack_id(),
+                               duration patience = flow_limits::fill_interference_wait);
     duration patience_of(instant now, const flow_job& job, const flow_task& task) const;
-    static bool takes_starts(instant now, const cell_worker& w);
+    static bool is_schedulable(instant now, const cell_worker& w);
     placement_candidate option_of(instant now, const cell_worker& w) const;
     void index_ready(flow_job& job);
     void drop_ready(const job_id& job);
     void index_ready_again();
-    void tell_others(instant now, const committed_row& written, row_version version);
-    void tick_timed(instant now);
+    void notify_other_cells(instant now, const committed_row& written, row_version version);
+    void open_due_stages(instant now);
 
     // flow_cell_log.cpp
     struct task_wait {
@@ -453,7 +454,7 @@
     std::optional<std::pair<cell_id, skylarkhub::epoch>> find_place_elsewhere(instant now, const flow_job& job,
                                                                               const flow_stage& stage);
     static bool is_reservable(const cell_worker& w, const flow_job& job, const flow_stage& stage);
-    static std::int32_t count_beside(const cell_worker& w, const flow_job& job, const flow_stage& stage);
+    static std::int32_t count_stage_runs(const cell_worker& w, const flow_job& job, const flow_stage& stage);
     bool can_make_room(const flow_job& job, const flow_stage& stage);
     void reserve_worker(instant now, const flow_job& job, const flow_stage& stage);
 
@@ -481,19 +482,19 @@
     void confirm_all(instant now);
 
     // flow_cell_pace.cpp
-    void take_measures(instant now, cell_worker& w, const order_answer& answer);
+    void process_measurements(instant now, cell_worker& w, const order_answer& answer);
     void learn(cell_worker& w, const order_answer& answer);
     void set_paces(instant now, cell_worker& w);
     void send_paces(instant now, cell_worker& w);
-    void evict_fillers(instant now, cell_worker& w);
+    void evict_throttled_filling(instant now, cell_worker& w);
     int image_of(const flow_step& step);
-    void count_serving(cell_worker& w, const job_id& job, const ledger_run& run, int change);
-    void set_bearing(serving_group& group, instant now) const;
+    void adjust_image_usage(cell_worker& w, const job_id& job, const ledger_run& run, int change);
+    void update_tolerance(serving_group& group, instant now) const;
     double pressure_on(const cell_worker& w, const serving_group& group) const;
-    expected_interference filling_on(const cell_worker& w, int filling, double share) const;
+    expected_interference filling_interference(const cell_worker& w, int filling, double share) const;
     std::string serving_image(const cell_worker& w) const;
-    void count_fill_room(const cell_worker& w, wire::flow_pool_row& pool) const;
-    double excess_for(const cell_worker& w, int serving) const;
+    void add_filling_capacity(const cell_worker& w, wire::flow_pool_row& pool) const;
+    double compute_excess_pressure(const cell_worker& w, int serving) const;
 
     // A run that a worker lists, of a job that is not known here.
     struct stray_run {
@@ -570,7 +571,7 @@
     std::set<job_id> timed_jobs_;
     std::map<job_id, instant> recently_ended_jobs_; // ended jobs, until no late page can tell of them any more
     crash_watch<flow_task_id> recent_crashes_;
-    std::map<net_address, lapsed_life> lapsed_workers_;
+    std::map<net_address, lapsed_worker> lapsed_workers_;
     bool isolated_task_waits_ = false; // a task waits for a worker to itself
     std::map<std::string, part_state> parts_;
     interference_model interference_;
--- a/src/flow_cell_pace.cpp
+++ b/src/flow_cell_pace.cpp
@@ -89,7 +89,7 @@
 }
 
 // Keeps what is counted of a worker's serving and filling tasks in step with its ledger.
-void flow_cell::count_serving(cell_worker& w, const job_id& job, const ledger_run& run, int change)
+void flow_cell::adjust_image_usage(cell_worker& w, const job_id& job, const ledger_run& run, int change)
 {
     if (run.filling) {
         double& wanted = entry(w.wanted, run.image_index);
@@ -106,7 +106,7 @@
         group.job = job;
         group.image = run.image_index;
         group.tasks = change;
-        set_bearing(group, w.read_at);
+        update_tolerance(group, w.clock_read_at);
         w.serving_groups.push_back(group);
         return;
     }
@@ -116,7 +116,7 @@
     }
 }
 
-void flow_cell::set_bearing(serving_group& group, instant now) const
+void flow_cell::update_tolerance(serving_group& group, instant now) const
 {
     const double time = seconds_of(now);
     double soon = 0;
@@ -128,7 +128,7 @@
     for (const double ahead : placed_ahead_s) {
         sum += interference_.tolerable_pressure(group.image, loads_.at(group.job, time + ahead));
     }
-    group.bears_usual = sum / static_cast<double>(placed_ahead_s.size());
+    group.mean_tolerated_pressure = sum / static_cast<double>(placed_ahead_s.size());
 }
 
 // The pressure on one image's serving tasks by the filling work there, at its pace.
@@ -145,12 +145,12 @@
 
 // What more of one filling image would do there: the part of what its serving tasks bear that it takes up, and by how
 // much pressure would go beyond.
-expected_interference flow_cell::filling_on(const cell_worker& w, int filling, double share) const
+expected_interference flow_cell::filling_interference(const cell_worker& w, int filling, double share) const
 {
     expected_interference out;
     for (const serving_group& group : w.serving_groups) {
         const double own = interference_.interference_coefficient(group.image, filling) * share;
-        const double tolerated_pressure = group.bears_usual * w.margin;
+        const double tolerated_pressure = group.mean_tolerated_pressure * w.tolerance_margin;
         const double pressure = own + interference_.pressure(group.image, w.wanted);
         out.taken = std::max(out.taken, own / std::max(tolerated_pressure, bears_least));
         // Work that presses on nobody is welcome even where other work already presses too much.
@@ -160,7 +160,7 @@
 }
 
 // By how much pressure would go beyond what is borne by a serving task that would join the filling work there.
-double flow_cell::excess_for(const cell_worker& w, int serving) const
+double flow_cell::compute_excess_pressure(const cell_worker& w, int serving) const
 {
     const double pressure = interference_.pressure(serving, w.wanted);
     return std::clamp(pressure - interference_.tolerable_pressure(serving, loads_.at(job_id(), 0)), 0.0, 0.3);
@@ -175,7 +175,7 @@
             entry(used, at->second.image_index) += static_cast<double>(run.measure) / room_of(w.listing);
         }
     }
-    const double a = w.shares.empty() ? 1 : smoothing(w.read_at - w.measured_at, share_smoothing_s);
+    const double a = w.shares.empty() ? 1 : smoothing(w.clock_read_at - w.measured_at, share_smoothing_s);
     w.shares.resize(std::max(w.shares.size(), used.size()), 0);
     for (std::size_t f = 0; f < w.shares.size(); ++f) {
         w.shares[f] += a * (value_at(used, f) - w.shares[f]);
@@ -192,18 +192,18 @@
         const int image = at->second.image_index;
         interference_.note_tail(image, tail);
         const double utilization = interference_.utilization(image, tail);
-        const double time = seconds_of(w.read_at) - look_age_s;
+        const double time = seconds_of(w.clock_read_at) - look_age_s;
         loads_.add(run.task.job, time, interference_.estimate_load(image, utilization, w.shares),
                    interference_.load_weight(image, utilization, w.shares));
         interference_.learn(image, utilization, loads_.at(run.task.job, time), w.shares);
     }
     for (serving_group& group : w.serving_groups) {
-        set_bearing(group, w.read_at);
+        update_tolerance(group, w.clock_read_at);
     }
-    w.measured_at = w.read_at;
+    w.measured_at = w.clock_read_at;
 }
 
-void flow_cell::take_measures(instant now, cell_worker& w, const order_answer& answer)
+void flow_cell::process_measurements(instant now, cell_worker& w, const order_answer& answer)
 {
     const duration since = w.measured_at == instant{} ? duration(0) : now - w.measured_at;
     w.tail = 0;
@@ -213,35 +213,36 @@
         interference_.refit();
     }
     if (w.tail < easy_tail) {
-        w.margin = std::min(margin_most, w.margin + margin_gain * std::chrono::duration<double>(since).count());
+        w.tolerance_margin =
+            std::min(margin_most, w.tolerance_margin + margin_gain * std::chrono::duration<double>(since).count());
     }
     if (w.tail >= strained_tail && w.filling_task_count > 0 && now - w.tightened_at >= drain_time) {
-        w.margin = std::max(margin_least, w.margin * margin_cut);
+        w.tolerance_margin = std::max(margin_least, w.tolerance_margin * margin_cut);
         w.tightened_at = now;
         edges_.note(log_level::info, "pace", "tightened",
                     {{"worker", w.listing.worker.str()},
                      {"tail_share", std::to_string(w.tail)},
-                     {"margin", std::to_string(w.margin)}});
+                     {"margin", std::to_string(w.tolerance_margin)}});
     }
     if (w.tail < 1) {
-        w.over_since = instant{};
+        w.over_target_since = instant{};
     }
-    else if (w.over_since == instant{}) {
-        w.over_since = now;
+    else if (w.over_target_since == instant{}) {
+        w.over_target_since = now;
     }
     set_paces(now, w);
-    evict_fillers(now, w);
+    evict_throttled_filling(now, w);
 }
 
 void flow_cell::set_paces(instant now, cell_worker& w)
 {
     std::vector<serving_tolerance> serving;
     for (const serving_group& group : w.serving_groups) {
-        serving.push_back({group.image, group.tolerated_pressure * w.margin});
+        serving.push_back({group.image, group.tolerated_pressure * w.tolerance_margin});
     }
     w.paces = choose_paces(interference_, serving, w.wanted);
     // Whatever the model says: filling work does not go on beside a serving task that stays over its target.
-    if (w.over_since != instant{} && now - w.over_since >= over_most && w.serving > 0) {
+    if (w.over_target_since != instant{} && now - w.over_target_since >= over_most && w.serving > 0) {
         std::fill(w.paces.begin(), w.paces.end(), 0);
     }
     send_paces(now, w);
@@ -284,7 +285,7 @@
 
 // Filling work that is slowed to nothing makes no way where it is. It goes on from its checkpoint where it presses on
 // nobody, one task at a time, as long as there is such a place.
-void flow_cell::evict_fillers(instant now, cell_worker& w)
+void flow_cell::evict_throttled_filling(instant now, cell_worker& w)
 {
     if (now < w.next_evict || w.serving == 0) {
         return;
@@ -301,9 +302,10 @@
         }
         const flow_stage& stage = *found->second->find_stage(task);
         const flow_step& step = found->second->step(stage);
-        const cell_worker* const better = step.checkpointing ? choose(now, *found->second, stage, *t) : nullptr;
+        const cell_worker* const better = step.checkpointing ? choose_worker(now, *found->second, stage, *t) : nullptr;
         if (better == nullptr ||
-            filling_on(*better, run.image_index, static_cast<double>(run.need.cpu_millis) / room_of(better->listing))
+            filling_interference(*better, run.image_index,
+                                 static_cast<double>(run.need.cpu_millis) / room_of(better->listing))
                     .excess_pressure > 0) {
             continue;
         }
--- a/src/flow_cell_placing.cpp
+++ b/src/flow_cell_placing.cpp
@@ -86,7 +86,7 @@
         }
         flow_job& job = *found->second;
         // What two owners counted may reach the limit only when their rows are merged; no run ends then to show it.
-        if (unreconciled_jobs_.count(id) == 0 && has_spent_task(job)) {
+        if (unreconciled_jobs_.count(id) == 0 && has_exhausted_task(job)) {
             end_job(now, job, flow_state::failed);
             continue;
         }
@@ -99,10 +99,10 @@
     }
 }
 
-bool flow_cell::takes_starts(instant now, const cell_worker& w)
+bool flow_cell::is_schedulable(instant now, const cell_worker& w)
 {
-    return w.listed && w.named && w.fenced && !w.listing.draining && w.silent == 0 && !w.told_silent &&
-           w.strangers == 0 && w.reading.has_value() && now >= w.no_starts_until;
+    return w.listed && w.named && w.fenced && !w.listing.draining && w.silent == 0 && !w.published_silent &&
+           w.untracked_runs == 0 && w.reading.has_value() && now >= w.no_starts_until;
 }
 
 placement_candidate flow_cell::option_of(instant now, const cell_worker& w) const
@@ -122,7 +122,7 @@
 }
 
 // Tasks of the stage that run there or are about to.
-std::int32_t flow_cell::count_beside(const cell_worker& w, const flow_job& job, const flow_stage& stage)
+std::int32_t flow_cell::count_stage_runs(const cell_worker& w, const flow_job& job, const flow_stage& stage)
 {
     std::int32_t beside = 0;
     for (auto at = w.ledger.lower_bound(job.task_id(stage, 0));
@@ -134,8 +134,8 @@
     return beside;
 }
 
-flow_cell::cell_worker* flow_cell::choose(instant now, const flow_job& job, const flow_stage& stage,
-                                          const flow_task& task, const rack_id& near, duration patience)
+flow_cell::cell_worker* flow_cell::choose_worker(instant now, const flow_job& job, const flow_stage& stage,
+                                                 const flow_task& task, const rack_id& near, duration patience)
 {
     const flow_step& step = job.step(stage);
     const bool serves = step.tail_target > duration(0);
@@ -143,8 +143,8 @@
     cell_worker* best = nullptr;
     double best_cost = 0;
     for (auto& [id, w] : workers_) {
-        if (!takes_starts(now, w) || w.listing.service != job.row().service_name ||
-            !has_label(w.listing.labels, step.label) || (w.is_reserved(now) && !step.lasting) || is_kept(now, w)) {
+        if (!is_schedulable(now, w) || w.listing.service != job.row().service_name ||
+            !has_label(w.listing.labels, step.label) || (w.is_reserved(now) && !step.lasting) || is_dedicated(now, w)) {
             continue;
         }
         const placement_candidate option = option_of(now, w);
@@ -154,7 +154,7 @@
         expected_interference interference;
         if (step.filling) {
             const double room = static_cast<double>(std::max<std::int64_t>(1, w.listing.room.cpu_millis));
-            interference = filling_on(w, image, static_cast<double>(step.need.cpu_millis) / room);
+            interference = filling_interference(w, image, static_cast<double>(step.need.cpu_millis) / room);
             const bool crowded = available_for_filling(option) - step.need.cpu_millis <
                                  -static_cast<std::int64_t>(fill_overcommit * room);
             // Left waiting for a place where it is borne and gets its processors: elsewhere it would be slowed to
@@ -165,9 +165,9 @@
             }
         }
         else if (serves) {
-            interference.excess_pressure = excess_for(w, image);
+            interference.excess_pressure = compute_excess_pressure(w, image);
         }
-        if (step.per_worker_most > 0 && count_beside(w, job, stage) >= step.per_worker_most) {
+        if (step.per_worker_most > 0 && count_stage_runs(w, job, stage) >= step.per_worker_most) {
             continue;
         }
         const bool runs_here = std::any_of(task.runs.begin(), task.runs.end(),
@@ -232,9 +232,9 @@
         }
         const rack_id near = step.same_rack && !chosen.empty() ? chosen.front().second->listing.rack : rack_id();
         const duration patience = step.filling && chosen.empty() ? patience_of(now, job, task) : fill_interference_wait;
-        const bool alone = starts_alone(now, step, task);
-        cell_worker* const w = alone ? choose_alone(now, job, stage, job.task_id(stage, i))
-                                     : choose(now, job, stage, task, near, patience);
+        const bool alone = needs_dedicated_worker(now, step, task);
+        cell_worker* const w = alone ? choose_dedicated(now, job, stage, job.task_id(stage, i))
+                                     : choose_worker(now, job, stage, task, near, patience);
         if (w == nullptr && alone && !step.gang) {
             continue;
         }
@@ -294,7 +294,7 @@
                  {"worker", w.listing.worker.str()},
                  {"waited_ms", std::to_string((now - task.ready_since).count() / 1000)},
                  {"left_cpu", std::to_string(w.listing.room.cpu_millis - w.held.cpu_millis)}});
-    task.runs.back().alone = w.kept_for == id;
+    task.runs.back().alone = w.dedicated_to == id;
     if (persists_starts(step) || (task.runs.back().alone && !step.gang)) {
         record_then_start(now, job, id, task.runs.back());
         return;
@@ -306,7 +306,8 @@
 // them the step. A run that has fallen behind gets a copy elsewhere if the step allows it; else it is stopped and
 // starts again elsewhere, at its checkpoint if it has one, once its end is certain. Twice at most: a task that is
 // slower everywhere than was estimated must not be started for ever.
-void flow_cell::hasten(instant now, cell_worker& w, flow_job& job, ledger_run& run, const reported_run& seen)
+void flow_cell::mitigate_straggler(instant now, cell_worker& w, flow_job& job, ledger_run& run,
+                                   const reported_run& seen)
 {
     constexpr std::int32_t restarts_most = 2;
     constexpr int pace_free = 50; // percent; below, its pace explains why it does not get on
@@ -330,7 +331,7 @@
         distrust(now, w, 1);
     }
     task.avoided_worker = w.listing.worker;
-    cell_worker* const better = choose(now, job, stage, task);
+    cell_worker* const better = choose_worker(now, job, stage, task);
     if (better == nullptr || better == &w) {
         return;
     }
@@ -354,7 +355,7 @@
     start_on(now, job, stage, static_cast<std::size_t>(seen.task.index), *better, copy);
 }
 
-void flow_cell::tick_timed(instant now)
+void flow_cell::open_due_stages(instant now)
 {
     const wall_time wall = edges_.wall();
     for (const job_id& id : timed_jobs_) {
--- a/src/flow_cell_runs.cpp
+++ b/src/flow_cell_runs.cpp
@@ -31,7 +31,7 @@
         at->second.run = run;
         return;
     }
-    count_run(w, task.job, entry, 1);
+    adjust_usage(w, task.job, entry, 1);
 }
 
 void flow_cell::ledger_remove(cell_worker& w, const flow_task_id& task, run_number run)
@@ -40,16 +40,16 @@
     if (at == w.ledger.end() || at->second.run != run) {
         return;
     }
-    count_run(w, task.job, at->second, -1);
+    adjust_usage(w, task.job, at->second, -1);
     w.ledger.erase(at);
     w.paced.erase(task);
-    if (w.kept_for == task) {
-        w.kept_for.reset();
+    if (w.dedicated_to == task) {
+        w.dedicated_to.reset();
     }
 }
 
 // Adds a run to what is counted of its worker, or takes it off again: `change` is 1 or -1.
-void flow_cell::count_run(cell_worker& w, const job_id& job, const ledger_run& run, int change)
+void flow_cell::adjust_usage(cell_worker& w, const job_id& job, const ledger_run& run, int change)
 {
     resources counted{run.need.cpu_millis * change, run.need.memory_mib * change, run.need.accelerators * change};
     w.lasting_cpu += run.lasting ? counted.cpu_millis : 0;
@@ -61,10 +61,10 @@
         counted.cpu_millis = 0;
     }
     w.held = w.held + counted;
-    count_serving(w, job, run, change);
+    adjust_image_usage(w, job, run, change);
 }
 
-flow_cell::run_lookup flow_cell::locate(const worker_id& id, const flow_task_id& task, run_number run)
+flow_cell::run_lookup flow_cell::look_up_run(const worker_id& id, const flow_task_id& task, run_number run)
 {
     run_lookup parts;
     const auto at = workers_.find(id);
@@ -80,7 +80,7 @@
 
 void flow_cell::send_start(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries)
 {
-    const auto [worker, job, t, live] = locate(id, task, run);
+    const auto [worker, job, t, live] = look_up_run(id, task, run);
     if (worker == nullptr || job == nullptr) {
         return;
     }
@@ -94,19 +94,19 @@
     }
     // Its room may have shrunk while the start waited, for a write or for an answer.
     if (!fits(w.held, w.listing.room)) {
-        take_back_start(now, w, *job, task, run, tries);
+        withdraw_start(now, w, *job, task, run, tries);
         return;
     }
     start_run order;
     order.task = task;
     order.run = run;
     order.payload = job->spec().payload;
-    order.checkpoint = starts_anew(*job, *job->find_stage(task), *t) ? "" : t->checkpoint;
+    order.checkpoint = starts_without_checkpoint(*job, *job->find_stage(task), *t) ? "" : t->checkpoint;
     order.fence = epoch_;
     if (tries == 0) {
         live->started = now;
         if (live->alone) {
-            begin_alone(now, w, *t);
+            begin_dedicated_run(now, w, *t);
         }
         live->lease_until = lease_end(w, now).value_or(worker_time{});
         note_lease(w, now);
@@ -124,14 +124,14 @@
 void flow_cell::on_started(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries,
                            const order_answer& answer)
 {
-    const auto [worker, job, t, live] = locate(id, task, run);
+    const auto [worker, job, t, live] = look_up_run(id, task, run);
     if (worker == nullptr || job == nullptr) {
         return;
     }
     cell_worker& w = *worker;
     if (answer.clock && (!w.reading || *answer.clock > *w.reading)) {
         w.reading = answer.clock;
-        w.read_at = now;
+        w.clock_read_at = now;
         w.last_answer = now;
     }
     if (live == nullptr) {
@@ -146,7 +146,7 @@
                      {"tries", std::to_string(tries)},
                      {"reason", answer.reason}});
     }
-    if (superseded(now, w, answer.result)) {
+    if (handle_fatal_result(now, w, answer.result)) {
         return;
     }
     switch (answer.result) {
@@ -193,7 +193,7 @@
     if (answer.result == order_result::unhealthy) {
         distrust(now, w, 0.5);
     }
-    take_back_start(now, w, *job, task, run, tries);
+    withdraw_start(now, w, *job, task, run, tries);
 }
 
 // A worker has taken the run. Only then the job has started: a start that is refused, or lost, leaves it waiting.
@@ -208,8 +208,8 @@
 }
 
 // A start that was not accepted, or must not be sent any more.
-void flow_cell::take_back_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
-                                int tries)
+void flow_cell::withdraw_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
+                               int tries)
 {
     if (job.step(*job.find_stage(task)).gang) {
         stop_gang(now, job, *job.find_stage(task), run);
@@ -241,8 +241,8 @@
                      if (life != ownership_generation_) {
                          return;
                      }
-                     const run_lookup parts = locate(id, task, run);
-                     if (parts.worker == nullptr || superseded(then, *parts.worker, answer.result)) {
+                     const run_lookup parts = look_up_run(id, task, run);
+                     if (parts.worker == nullptr || handle_fatal_result(then, *parts.worker, answer.result)) {
                          return;
                      }
                      live_run* const live = parts.live;
@@ -398,7 +398,7 @@
     return static_cast<std::int32_t>(task.failed_runs.size()) >= most;
 }
 
-bool flow_cell::has_spent_task(const flow_job& job) const
+bool flow_cell::has_exhausted_task(const flow_job& job) const
 {
     return std::any_of(job.stages().begin(), job.stages().end(), [&](const flow_stage& stage) {
         return std::any_of(stage.tasks.begin(), stage.tasks.end(),
@@ -466,7 +466,7 @@
 }
 
 // All rows of one job for this cell, read from the table just now.
-void flow_cell::take_rows(instant now, const job_id& id, const std::vector<store_row>& rows)
+void flow_cell::process_job_rows(instant now, const job_id& id, const std::vector<store_row>& rows)
 {
     if (jobs_.count(id) != 0) {
         for (const store_row& row : rows) {
@@ -565,7 +565,7 @@
                      {"tasks", std::to_string(known.count_ready() - waited)},
                      {"version", std::to_string(version.value())}});
     }
-    if (deposed_by(now, known)) {
+    if (step_down_if_superseded(now, known)) {
         return;
     }
     stop_incomplete_gangs(now, known);
@@ -600,14 +600,14 @@
     if (job.all_done()) {
         end_job(now, job, flow_state::done);
     }
-    else if (unreconciled_jobs_.count(job.id()) == 0 && has_spent_task(job)) {
+    else if (unreconciled_jobs_.count(job.id()) == 0 && has_exhausted_task(job)) {
         end_job(now, job, flow_state::failed);
     }
 }
 
 // Only what is in the table: what this owner has decided since may never be written, if it has been followed. Told of a
 // task that was given away so, another cell would start it beside the follower.
-void flow_cell::tell_others(instant now, const committed_row& written, row_version version)
+void flow_cell::notify_other_cells(instant now, const committed_row& written, row_version version)
 {
     for (const cell_id& cell : written.told) {
         hooks_.notify_cell_owner(now, {cell, written.job, id_.str()}, written.news_for(cell), version);
@@ -648,11 +648,11 @@
                  {"queue", row.queue},
                  {"steps", std::to_string(row.steps.size())},
                  {"cell_epoch", std::to_string(row.cell_epoch)}});
-    if (deposed_by(now, *job)) {
+    if (step_down_if_superseded(now, *job)) {
         return;
     }
-    adopt_strays(now, *job);
-    if (job->newest_epoch() < epoch_ && !all_accounted(now)) {
+    adopt_stray_runs(now, *job);
+    if (job->newest_epoch() < epoch_ && !all_workers_reconciled(now)) {
         unreconciled_jobs_.insert(id); // the owner before may have heard of it first
     }
     if (job->cancelled()) {
@@ -667,7 +667,7 @@
     schedule_placement();
 }
 
-bool flow_cell::deposed_by(instant now, const flow_job& job)
+bool flow_cell::step_down_if_superseded(instant now, const flow_job& job)
 {
     if (role_ != role::owning || job.newest_epoch() <= epoch_) {
         return false;
@@ -692,14 +692,14 @@
 }
 
 // What a worker adds to the room for each filling image, and to what its pool serves.
-void flow_cell::count_fill_room(const cell_worker& w, wire::flow_pool_row& pool) const
+void flow_cell::add_filling_capacity(const cell_worker& w, wire::flow_pool_row& pool) const
 {
-    const std::int64_t left = std::max<std::int64_t>(0, available_for_filling(option_of(w.read_at, w)));
+    const std::int64_t left = std::max<std::int64_t>(0, available_for_filling(option_of(w.clock_read_at, w)));
     const double room = static_cast<double>(std::max<std::int64_t>(1, w.listing.room.cpu_millis));
     std::vector<double> spare;
     spare.reserve(w.serving_groups.size());
     for (const serving_group& group : w.serving_groups) {
-        spare.push_back(std::max(0.0, group.bears_usual * w.margin - pressure_on(w, group)));
+        spare.push_back(std::max(0.0, group.mean_tolerated_pressure * w.tolerance_margin - pressure_on(w, group)));
     }
     for (int f = 0; f < interference_.filling_count(); ++f) {
         double borne = static_cast<double>(left) / room;
@@ -746,7 +746,7 @@
         const std::int64_t free = w.listing.room.cpu_millis - w.held.cpu_millis;
         pool.total_cpu_millis += w.listing.room.cpu_millis;
         pool.free_cpu_millis += free;
-        pool.unused_cpu_millis += available_for_filling(option_of(w.read_at, w));
+        pool.unused_cpu_millis += available_for_filling(option_of(w.clock_read_at, w));
         wire::flow_worker_room each;
         each.free_cpu_millis = static_cast<std::int32_t>(free);
         each.serving = serving_image(w);
@@ -767,7 +767,7 @@
                 std::max(pool.largest_reservable_cpu_millis, w.listing.room.cpu_millis - w.lasting_cpu);
         }
         ++pool.workers;
-        count_fill_room(w, pool);
+        add_filling_capacity(w, pool);
     }
     for (const auto& [id, job] : jobs_) {
         const auto pool = pools.find(job->row().service_name);
@@ -797,7 +797,7 @@
     return news;
 }
 
-const wire::flow_cell_news& flow_cell::told_news(instant now)
+const wire::flow_cell_news& flow_cell::cached_news(instant now)
 {
     if (cached_news_generation_ != ownership_generation_ + 1 || cached_news_at_ + news_cache_ttl <= now) {
         cached_news_ = news(now);
--- a/src/flow_cell_start_records.cpp
+++ b/src/flow_cell_start_records.cpp
@@ -36,7 +36,7 @@
 {
     const bool written =
         std::all_of(parts_.begin(), parts_.end(), [](const auto& p) { return p.second.dirty.empty(); });
-    return role_ == role::owning && unreconciled_jobs_.empty() && all_accounted(now) && written;
+    return role_ == role::owning && unreconciled_jobs_.empty() && all_workers_reconciled(now) && written;
 }
 
 // The run is in the worker's ledger, so its room is kept meanwhile. All tasks that are placed in one go are noted with
@@ -68,11 +68,11 @@
         }
     }
     for (const noted_start& start : starts) {
-        const run_lookup parts = locate(start.worker, start.task, start.run);
+        const run_lookup parts = look_up_run(start.worker, start.task, start.run);
         if (parts.worker == nullptr || parts.live == nullptr) {
             continue;
         }
-        if (!may_send_orders(now) || !takes_starts(now, *parts.worker)) {
+        if (!may_send_orders(now) || !is_schedulable(now, *parts.worker)) {
             drop_run(now, *parts.worker, start.task, start.run);
             continue;
         }
--- a/src/flow_cell_workers.cpp
+++ b/src/flow_cell_workers.cpp
@@ -19,7 +19,7 @@
         present.insert(listing.worker);
         const auto [at, added] = workers_.try_emplace(listing.worker);
         cell_worker& w = at->second;
-        if (w.over) {
+        if (w.incarnation_ended) {
             continue; // its entry outlives it, or never was a worker's
         }
         if (added || w.listing.draining != listing.draining || !w.listed) {
@@ -30,7 +30,7 @@
                          {"draining", listing.draining ? "yes" : "no"}});
         }
         if (added && role_ == role::owning) {
-            charge_lapsed(now, listing);
+            charge_lapsed_worker(now, listing);
         }
         // The exchanges with a worker that fell out of the list end once nothing runs there: without another one it
         // would take tasks again and nobody would hear their ends.
@@ -38,7 +38,7 @@
         w.listing = listing;
         w.listed = true;
         if (role_ == role::owning && !held) {
-            hold_soon(now, listing.worker, duration(0));
+            schedule_hold(now, listing.worker, duration(0));
         }
         if (role_ == role::owning && added) {
             next_renewal_ = now; // it takes tasks once the row names it
@@ -51,9 +51,9 @@
                 edges_.note(log_level::info, "worker", "unlisted", {{"cell", id_.str()}, {"worker", at->first.str()}});
             }
             w.listed = false;
-            if (role_ == role::watching ||
-                (role_ == role::owning && !w.holding &&
-                 (w.over || is_idle_and_unlisted(w) || (!w.fenced && w.ledger.empty() && all_accounted(now))))) {
+            if (role_ == role::watching || (role_ == role::owning && !w.hold_in_flight &&
+                                            (w.incarnation_ended || is_idle_and_unlisted(w) ||
+                                             (!w.fenced && w.ledger.empty() && all_workers_reconciled(now))))) {
                 at = workers_.erase(at);
                 continue;
             }
@@ -72,7 +72,7 @@
     if (!w.reading) {
         return std::nullopt;
     }
-    return *w.reading + (now - w.read_at) + lease;
+    return *w.reading + (now - w.clock_read_at) + lease;
 }
 
 void flow_cell::note_lease(cell_worker& w, instant now) const
@@ -81,7 +81,7 @@
 }
 
 // A worker whose leases have ended is asked once all the same: it may list ends that the owner before could not hear.
-bool flow_cell::all_accounted(instant now) const
+bool flow_cell::all_workers_reconciled(instant now) const
 {
     const bool may_be_lapsed = may_expire_leases(now);
     return std::all_of(workers_.begin(), workers_.end(), [may_be_lapsed](const auto& named) {
@@ -93,7 +93,7 @@
 // Tasks that last and were on such a worker may start from now on.
 void flow_cell::note_lapsed(instant now, cell_worker& w)
 {
-    if (!w.inherited || w.is_asked() || w.lapsed || now < w.lapsed_after || !may_expire_leases(now)) {
+    if (!w.inherited || w.has_accepted_epoch() || w.lapsed || now < w.lapsed_after || !may_expire_leases(now)) {
         return;
     }
     w.lapsed = true;
@@ -105,9 +105,9 @@
 }
 
 // What could not be found may be started from now on.
-void flow_cell::note_accounted(instant now)
+void flow_cell::finish_reconciliation(instant now)
 {
-    if (unreconciled_jobs_.empty() || !all_accounted(now)) {
+    if (unreconciled_jobs_.empty() || !all_workers_reconciled(now)) {
         return;
     }
     const auto silent = std::count_if(workers_.begin(), workers_.end(),
@@ -134,57 +134,57 @@
 {
     for (auto at = workers_.begin(); at != workers_.end();) {
         cell_worker& w = at->second;
-        bury_if_lapsed(now, w);
+        declare_lost_if_lapsed(now, w);
         note_lapsed(now, w);
         // The name of one that is over is kept while the list names it: taken for new it would be asked, and logged,
         // with each reading.
-        if (is_idle_and_unlisted(w) && !w.holding && !w.over) {
+        if (is_idle_and_unlisted(w) && !w.hold_in_flight && !w.incarnation_ended) {
             at = workers_.erase(at);
             continue;
         }
         ++at;
     }
-    note_accounted(now);
+    finish_reconciliation(now);
 }
 
 // A run there that is not in the ledger is still to be stopped, or to be known: left alone on a worker that fell out of
 // the list, a task of a cancelled job would go on until its lease ends.
 bool flow_cell::is_idle_and_unlisted(const cell_worker& w)
 {
-    return !w.listed && w.fenced && w.ledger.empty() && w.strangers == 0;
+    return !w.listed && w.fenced && w.ledger.empty() && w.untracked_runs == 0;
 }
 
 // Judged only once the exchange that was under way has concluded without an answer. An owner that was held up for
 // longer than a lease finds the answers of all its workers waiting, and its own tick before them: taken for dead, they
 // would have their tasks started again although the answers tell that these are done. And not by an owner that may have
 // been followed: its follower renews the leases, and the row would tell that a run has ended which goes on.
-void flow_cell::bury_if_lapsed(instant now, cell_worker& w)
+void flow_cell::declare_lost_if_lapsed(instant now, cell_worker& w)
 {
     if (!may_expire_leases(now)) {
         return;
     }
-    const bool silent = w.silent > 0 && !w.holding && now - w.last_answer > lease && w.lapsed_after != instant{};
-    if (silent && now > w.lapsed_after && (!w.ledger.empty() || w.strangers > 0)) {
-        worker_died(now, w, life_end::lapsed);
+    const bool silent = w.silent > 0 && !w.hold_in_flight && now - w.last_answer > lease && w.lapsed_after != instant{};
+    if (silent && now > w.lapsed_after && (!w.ledger.empty() || w.untracked_runs > 0)) {
+        on_worker_lost(now, w, worker_loss_cause::lapsed);
     }
 }
 
 // Nothing runs there any more. The exchange that is under way may have been answered before, with ends that only this
 // answer tells, and be waiting behind the news: its tasks are started again once it has concluded, at its time limit at
 // the latest.
-void flow_cell::life_ended(instant now, cell_worker& w)
+void flow_cell::on_incarnation_ended(instant now, cell_worker& w)
 {
-    w.over = true;
+    w.incarnation_ended = true;
     w.listed = false;
-    if (!w.holding) {
-        worker_died(now, w, life_end::crashed);
+    if (!w.hold_in_flight) {
+        on_worker_lost(now, w, worker_loss_cause::crashed);
     }
 }
 
 // Everything that ran there has ended and told nobody.
-void flow_cell::worker_died(instant now, cell_worker& w, life_end how)
+void flow_cell::on_worker_lost(instant now, cell_worker& w, worker_loss_cause how)
 {
-    const bool crashed = how == life_end::crashed;
+    const bool crashed = how == worker_loss_cause::crashed;
     if (w.unanswered_since == instant{}) {
         w.unanswered_since = now;
         note_silence(now, w);
@@ -204,7 +204,7 @@
         charge_crash_of(now, w);
     }
     else {
-        remember_lapsed(now, w);
+        record_lapsed_worker(now, w);
     }
     while (!w.ledger.empty()) {
         const auto [task, run] = *w.ledger.begin();
@@ -212,20 +212,20 @@
         drop_run(now, w, task, run.run);
     }
     w.fenced = true; // nothing of an earlier owner runs there either
-    w.strangers = 0;
+    w.untracked_runs = 0;
     w.listed = false;
 }
 
 // Whether an order's answer shows that another owner has followed this one, or that the worker's life has ended; then
 // everything is done that follows from it.
-bool flow_cell::superseded(instant now, cell_worker& w, order_result result)
+bool flow_cell::handle_fatal_result(instant now, cell_worker& w, order_result result)
 {
     if (result == order_result::fenced) {
         lose_ownership(now, "a worker has seen a higher fencing token");
         return true;
     }
     if (result == order_result::other_life) {
-        life_ended(now, w);
+        on_incarnation_ended(now, w);
         schedule_placement();
         return true;
     }
@@ -234,10 +234,10 @@
 
 // --- exchanges ---
 
-void flow_cell::hold_soon(instant now, const worker_id& id, duration wait)
+void flow_cell::schedule_hold(instant now, const worker_id& id, duration wait)
 {
     const auto at = workers_.find(id);
-    if (at == workers_.end() || at->second.hold_planned || at->second.holding) {
+    if (at == workers_.end() || at->second.hold_planned || at->second.hold_in_flight) {
         return;
     }
     if (wait <= duration(0)) {
@@ -258,29 +258,29 @@
 void flow_cell::send_hold(instant now, const worker_id& id)
 {
     const auto at = workers_.find(id);
-    if (at == workers_.end() || at->second.holding) {
+    if (at == workers_.end() || at->second.hold_in_flight) {
         return;
     }
     cell_worker& w = at->second;
     if (!may_renew_leases(now)) {
         if (owns()) {
-            hold_soon(now, id, hold_retry);
+            schedule_hold(now, id, hold_retry);
         }
         return;
     }
     if (is_idle_and_unlisted(w)) {
         return;
     }
-    w.holding = true;
+    w.hold_in_flight = true;
     ++stats_.holds;
     hold_worker order;
     order.fence = epoch_;
     order.confirmed = w.confirmed;
     // A worker that did not answer may still have heard: renewing without end would leave its tasks in doubt without
     // end. The exchanges that follow an unanswered one only ask.
-    const bool renewing = w.is_asked() && w.silent == 0 && !w.told_silent;
+    const bool renewing = w.has_accepted_epoch() && w.silent == 0 && !w.published_silent;
     order.lease_until = renewing ? lease_end(w, now) : std::nullopt;
-    order.wait = renewing && w.fenced && !is_watched(now, w) ? hold_wait : duration(0);
+    order.wait = renewing && w.fenced && !needs_frequent_polling(now, w) ? hold_wait : duration(0);
     if (order.lease_until) {
         note_lease(w, now);
     }
@@ -288,34 +288,35 @@
                  [this, id, sent = now, wait = order.wait, life = ownership_generation_](instant then,
                                                                                          const order_answer& answer) {
                      if (life == ownership_generation_) {
-                         on_held(then, id, sent, wait, answer);
+                         on_hold_result(then, id, sent, wait, answer);
                          return;
                      }
                      persist_listed_ends(answer); // asked by an owner that has been followed since
                  });
 }
 
-void flow_cell::on_held(instant now, const worker_id& id, instant sent, duration wait, const order_answer& answer)
+void flow_cell::on_hold_result(instant now, const worker_id& id, instant sent, duration wait,
+                               const order_answer& answer)
 {
     const auto at = workers_.find(id);
     if (at == workers_.end()) {
         return;
     }
     cell_worker& w = at->second;
-    w.holding = false;
-    if (superseded(now, w, answer.result)) {
+    w.hold_in_flight = false;
+    if (handle_fatal_result(now, w, answer.result)) {
         return;
     }
     const bool early = role_ == role::reading && answer.result == order_result::accepted;
     if (early) {
-        note_asked(w, now);
-        w.early = early_inventory{sent, answer};
+        note_epoch_accepted(w, now);
+        w.early = buffered_inventory{sent, answer};
     }
-    if (w.over) {
+    if (w.incarnation_ended) {
         if (answer.result == order_result::accepted && !early) {
-            take_inventory(now, w, sent, answer);
+            process_inventory(now, w, sent, answer);
         }
-        life_ended(now, w);
+        on_incarnation_ended(now, w);
         return;
     }
     if (answer.result != order_result::accepted) {
@@ -329,8 +330,8 @@
             edges_.note(log_level::warning, "worker", "silent",
                         {{"cell", id_.str()}, {"worker", id.str()}, {"reason", answer.reason}});
         }
-        bury_if_lapsed(now, w);
-        hold_soon(now, id, hold_retry);
+        declare_lost_if_lapsed(now, w);
+        schedule_hold(now, id, hold_retry);
         return;
     }
     w.silent = 0;
@@ -339,84 +340,84 @@
     const bool first_reading = !w.reading && answer.clock;
     if (answer.clock) {
         w.reading = answer.clock;
-        w.read_at = now;
+        w.clock_read_at = now;
     }
     if (early) {
-        next_renewal_ = w.told_silent ? now : next_renewal_; // as below
+        next_renewal_ = w.published_silent ? now : next_renewal_; // as below
         // Its clock was not known before, so this exchange gave no lease: owners that follow each other within a second
         // would let all that runs there lapse.
-        hold_soon(now, id, first_reading ? min_hold_interval : hold_wait);
+        schedule_hold(now, id, first_reading ? min_hold_interval : hold_wait);
         return;
     }
-    take_inventory(now, w, sent, answer);
+    process_inventory(now, w, sent, answer);
     const auto again = workers_.find(id);
     if (again == workers_.end()) {
         return;
     }
-    if (again->second.told_silent) {
+    if (again->second.published_silent) {
         next_renewal_ = now; // it is given leases once the row no longer says that it is silent
-        hold_soon(now, id, hold_retry);
+        schedule_hold(now, id, hold_retry);
         return;
     }
-    const bool all_told = again->second.unconfirmed.empty() && again->second.unknown.empty();
-    const duration gap = is_watched(now, again->second) ? solo_hold_interval
-                         : all_told                     ? min_hold_interval
-                                                        : min_hold_interval_unconfirmed;
-    hold_soon(now, id, sent + gap - now);
+    const bool all_told = again->second.unconfirmed.empty() && again->second.unknown_job_ends.empty();
+    const duration gap = needs_frequent_polling(now, again->second) ? solo_hold_interval
+                         : all_told                                 ? min_hold_interval
+                                                                    : min_hold_interval_unconfirmed;
+    schedule_hold(now, id, sent + gap - now);
 }
 
 // From now on it takes no order of the owner before.
-void flow_cell::note_asked(cell_worker& w, instant now)
+void flow_cell::note_epoch_accepted(cell_worker& w, instant now)
 {
-    if (w.inherited && !w.is_asked()) {
+    if (w.inherited && !w.has_accepted_epoch()) {
         w.lapsed_after = std::min(w.lapsed_after, now + certainly(lease));
     }
 }
 
 // What the workers told while the rows were read.
-void flow_cell::take_early_inventories(instant now)
+void flow_cell::process_buffered_inventories(instant now)
 {
     for (auto& [id, w] : workers_) {
         if (const auto early = std::exchange(w.early, std::nullopt)) {
-            take_inventory(now, w, early->sent, early->answer);
+            process_inventory(now, w, early->sent, early->answer);
         }
-        if (w.over) {
-            worker_died(now, w, life_end::crashed);
+        if (w.incarnation_ended) {
+            on_worker_lost(now, w, worker_loss_cause::crashed);
         }
     }
 }
 
-void flow_cell::take_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer)
+void flow_cell::process_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer)
 {
     const bool first = !w.fenced;
-    note_asked(w, now);
+    note_epoch_accepted(w, now);
     w.fenced = true;
     for (const reported_end& end : answer.ends) {
         if (end.number > w.seen) {
             w.seen = end.number;
-            take_end(now, w, end);
+            process_end(now, w, end);
         }
     }
     for (const reported_run& run : answer.running) {
-        take_running(now, w, run);
+        process_running(now, w, run);
     }
     // What a run takes that the ledger does not know is not known either: a start beside it could go over the room. Its
     // job's row is being read, or it is being stopped.
-    w.strangers =
+    w.untracked_runs =
         static_cast<std::int32_t>(std::count_if(answer.running.begin(), answer.running.end(),
                                                 [&w](const reported_run& r) { return w.ledger.count(r.task) == 0; }));
     if (!first) {
-        find_missing(now, w, sent, answer);
+        drop_vanished_runs(now, w, sent, answer);
     }
     confirm_ends(w);
-    take_measures(now, w, answer);
+    process_measurements(now, w, answer);
     if (first) {
-        note_accounted(now);
+        finish_reconciliation(now);
         schedule_placement();
     }
 }
 
-void flow_cell::take_end(instant now, cell_worker& w, const reported_end& end)
+void flow_cell::process_end(instant now, cell_worker& w, const reported_end& end)
 {
     const auto found = jobs_.find(end.task.job);
     if (found == jobs_.end()) {
@@ -425,7 +426,7 @@
         // owner before was told of after this one had read the rows. Confirmed unread, its end would be forgotten and
         // the task start again once the row is come across.
         if (recently_ended_jobs_.count(end.task.job) == 0) {
-            w.unknown.push_back(end);
+            w.unknown_job_ends.push_back(end);
             read_unknown_job(end.task.job);
         }
         return;
@@ -533,7 +534,7 @@
             return;
         }
         if (index && !goes_on && jobs_.count(job) == 0) {
-            tell_ended(then, job, *index, *rows);
+            notify_job_ended(then, job, *index, *rows);
         }
         on_unknown_job(then, job, goes_on ? *rows : std::vector<store_row>());
     });
@@ -541,8 +542,8 @@
 
 // Its rows are left over. Another cell's owner that told of it after its end, and those that this one gave tasks to,
 // have not heard of the end: what they run of it would run on.
-void flow_cell::tell_ended(instant now, const job_id& job, const wire::flow_job_row& index,
-                           const std::vector<store_row>& rows)
+void flow_cell::notify_job_ended(instant now, const job_id& job, const wire::flow_job_row& index,
+                                 const std::vector<store_row>& rows)
 {
     if (rows.empty()) {
         return;
@@ -568,7 +569,7 @@
 
 // Workers may list runs of a job before its row is known. Left to the next exchange, a task whose worker has told what
 // it runs would seem to run nowhere, and start a second time.
-void flow_cell::adopt_strays(instant now, flow_job& job)
+void flow_cell::adopt_stray_runs(instant now, flow_job& job)
 {
     const auto strays = job_reads_in_flight_.find(job.id());
     if (strays == job_reads_in_flight_.end()) {
@@ -576,8 +577,8 @@
     }
     for (const stray_run& stray : std::exchange(strays->second.strays, {})) {
         const auto at = workers_.find(stray.worker);
-        if (at != workers_.end() && !at->second.over && at->second.ledger.count(stray.task) == 0) {
-            adopt(now, at->second, job, {stray.task, stray.run, "", 0, 0});
+        if (at != workers_.end() && !at->second.incarnation_ended && at->second.ledger.count(stray.task) == 0) {
+            adopt_run(now, at->second, job, {stray.task, stray.run, "", 0, 0});
         }
     }
 }
@@ -585,14 +586,14 @@
 void flow_cell::on_unknown_job(instant now, const job_id& job, const std::vector<store_row>& rows)
 {
     if (!rows.empty()) {
-        take_rows(now, job, rows);
+        process_job_rows(now, job, rows);
     }
     const bool known = jobs_.count(job) != 0;
     if (!known && !rows.empty() && !job_reads_in_flight_[job].told.empty()) {
         ask_unknown_job(job); // what was read does not concern this cell, what was told since may
         return;
     }
-    take_unknown_ends(now, job);
+    process_unknown_ends(now, job);
     const auto reading = job_reads_in_flight_.extract(job);
     if (reading.empty()) {
         return;
@@ -609,11 +610,11 @@
 }
 
 // The job's row has been read: it is known now, or has ended, or is not this cell's and its owner has its ends.
-void flow_cell::take_unknown_ends(instant now, const job_id& job)
+void flow_cell::process_unknown_ends(instant now, const job_id& job)
 {
     for (auto& [id, w] : workers_) {
         std::vector<reported_end> ends;
-        std::erase_if(w.unknown, [&](const reported_end& end) {
+        std::erase_if(w.unknown_job_ends, [&](const reported_end& end) {
             if (end.task.job == job) {
                 ends.push_back(end);
             }
@@ -621,7 +622,7 @@
         });
         for (const reported_end& end : ends) {
             if (jobs_.count(job) != 0) {
-                take_end(now, w, end);
+                process_end(now, w, end);
             }
         }
         if (!ends.empty()) {
@@ -630,13 +631,13 @@
     }
 }
 
-void flow_cell::take_running(instant now, cell_worker& w, const reported_run& run)
+void flow_cell::process_running(instant now, cell_worker& w, const reported_run& run)
 {
     const auto held = w.ledger.find(run.task);
     const auto found = jobs_.find(run.task.job);
     if (found == jobs_.end()) {
         if (held == w.ledger.end()) {
-            take_stray(now, w, run);
+            process_stray_run(now, w, run);
         }
         return;
     }
@@ -658,19 +659,19 @@
         if (outlived) {
             job.note_outlived(run.task, run.run);
         }
-        hasten(now, w, job, held->second, run);
+        mitigate_straggler(now, w, job, held->second, run);
         return;
     }
     if (held != w.ledger.end() && held->second.run > run.run) {
         return; // the newer one is on its way
     }
-    adopt(now, w, job, run);
+    adopt_run(now, w, job, run);
 }
 
 // A run of a job that is not in the rows read so far: its row is new, or the job has ended. Only the row tells which.
 // All that are listed until it is read wait for it: with one stopped for each exchange, the tasks of a cancelled job
 // that a worker started late would go on for seconds.
-void flow_cell::take_stray(instant now, const cell_worker& w, const reported_run& run)
+void flow_cell::process_stray_run(instant now, const cell_worker& w, const reported_run& run)
 {
     if (recently_ended_jobs_.count(run.task.job) != 0) {
         send_stop(now, w.listing.worker, run.task, run.run, 0);
@@ -681,7 +682,7 @@
 }
 
 // A run that an earlier owner started, or one of ours whose order was carried out late.
-void flow_cell::adopt(instant now, cell_worker& w, flow_job& job, const reported_run& run)
+void flow_cell::adopt_run(instant now, cell_worker& w, flow_job& job, const reported_run& run)
 {
     flow_stage* const stage = job.find_stage(run.task);
     flow_task* const task = job.find_task(run.task);
@@ -712,7 +713,7 @@
 
 // A run that was confirmed before this exchange began, and is neither running nor ended: it is gone. That should not
 // happen; left alone, its task would wait for an end that never comes.
-void flow_cell::find_missing(instant now, cell_worker& w, instant sent, const order_answer& answer)
+void flow_cell::drop_vanished_runs(instant now, cell_worker& w, instant sent, const order_answer& answer)
 {
     std::vector<std::pair<flow_task_id, run_number>> missing;
     for (const auto& [task, run] : w.ledger) {
@@ -756,7 +757,7 @@
             left.push_back(end);
         }
     }
-    for (const reported_end& end : w.unknown) {
+    for (const reported_end& end : w.unknown_job_ends) {
         confirmed = std::min(confirmed, end_number(end.number.value() - 1));
     }
     w.unconfirmed = std::move(left);
--- a/src/flow_peers.cpp
+++ b/src/flow_peers.cpp
@@ -92,7 +92,7 @@
     h.table_silent_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now - table_answered_).count();
     for (const auto& [id, cell] : cells_) {
         if (cell->owns()) {
-            h.cells.push_back(cell->told_news(now));
+            h.cells.push_back(cell->cached_news(now));
             tell_count(now, h.cells.back());
         }
     }
