--- a/tests/support_flow_world.cpp
+++ b/tests/support_flow_simulation.cpp
@@ -1,4 +1,4 @@
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -94,7 +94,7 @@
     return spec;
 }
 
-flow_world::flow_world(options o)
+flow_simulation::flow_simulation(options o)
     : options_(std::move(o)),
       random_(make_random(options_.seed)),
       links_(options_.link_bytes_per_s, [this](duration d, std::function<void()> what) { later(d, std::move(what)); }),
@@ -102,7 +102,7 @@
 {
     int n = 0;
     for (const std::string& dc : options_.data_centres) {
-        for (int i = 0; i < options_.entries_each; ++i) {
+        for (int i = 0; i < options_.entries_per_data_centre; ++i) {
             entry_slot slot;
             slot.identity.entry = entry_id(fmt::format("entry-{}-{}", dc, i));
             slot.identity.address = net_address(fmt::format("10.0.0.{}:1", n));
@@ -113,7 +113,7 @@
             entries_.push_back(std::move(slot));
             ++n;
         }
-        for (int i = 0; i < options_.workers_each; ++i) {
+        for (int i = 0; i < options_.workers_per_data_centre; ++i) {
             add_worker(dc, options_.rack_size == 0 ? "rack-1" : fmt::format("rack-{}-{}", dc, i / options_.rack_size));
         }
     }
@@ -122,9 +122,9 @@
     }
 }
 
-flow_world::~flow_world() = default;
+flow_simulation::~flow_simulation() = default;
 
-int flow_world::add_worker(const std::string& data_centre, const std::string& rack)
+int flow_simulation::add_worker(const std::string& data_centre, const std::string& rack)
 {
     const int n = worker_count();
     const auto in_data_centre = std::count_if(workers_.begin(), workers_.end(),
@@ -134,7 +134,7 @@
     w->address = net_address(fmt::format("10.1.0.{}:1", n));
     w->data_centre = data_centre_id(data_centre);
     w->labels.back() = rack;
-    w->room.cpu_millis = options_.worker_cpu;
+    w->room.cpu_millis = options_.worker_cpu_millis;
     w->clock_offset = std::chrono::seconds(1000 + 17 * in_data_centre);
     workers_.push_back(std::move(w));
     return n;
@@ -142,12 +142,12 @@
 
 // --- time ---
 
-void flow_world::later(duration d, std::function<void()> what)
+void flow_simulation::later(duration d, std::function<void()> what)
 {
     queue_.emplace(now_ + std::max(d, duration(1)), std::move(what));
 }
 
-void flow_world::run_for(duration d)
+void flow_simulation::run_for(duration d)
 {
     const instant end = now_ + d;
     while (!queue_.empty() && queue_.begin()->first <= end) {
@@ -160,7 +160,7 @@
     now_ = end;
 }
 
-bool flow_world::run_until(const std::function<bool()>& done, duration most)
+bool flow_simulation::run_until(const std::function<bool()>& done, duration most)
 {
     const instant end = now_ + most;
     while (now_ < end) {
@@ -174,8 +174,8 @@
 
 // --- entries ---
 
-void flow_world::on_entry(int entry, std::uint64_t life, const std::function<void(flow_entry&, instant)>& what,
-                          bool timer)
+void flow_simulation::on_entry(int entry, std::uint64_t life, const std::function<void(flow_entry&, instant)>& what,
+                               bool timer)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     if (slot.life != life || !slot.decisions) {
@@ -189,7 +189,7 @@
     slot.decisions->run_deferred_work(now_);
 }
 
-void flow_world::start_entry(int entry)
+void flow_simulation::start_entry(int entry)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     ++slot.life;
@@ -200,7 +200,7 @@
           [this, entry, life = slot.life] { on_entry(entry, life, [](flow_entry& e, instant now) { e.begin(now); }); });
 }
 
-void flow_world::kill_entry(int entry)
+void flow_simulation::kill_entry(int entry)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     ++slot.life;
@@ -210,12 +210,12 @@
     slot.missed.clear();
 }
 
-void flow_world::freeze_entry(int entry)
+void flow_simulation::pause_entry(int entry)
 {
     entries_.at(static_cast<std::size_t>(entry)).frozen = true;
 }
 
-void flow_world::thaw_entry(int entry, bool newest_first)
+void flow_simulation::resume_entry(int entry, bool newest_first)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     slot.frozen = false;
@@ -227,33 +227,33 @@
     }
 }
 
-void flow_world::let_timers(int entry)
+void flow_simulation::let_timers(int entry)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     const auto answers =
         std::stable_partition(slot.missed.begin(), slot.missed.end(), [](const missed_event& e) { return e.timer; });
     std::vector<missed_event> waiting(std::make_move_iterator(answers), std::make_move_iterator(slot.missed.end()));
     slot.missed.erase(answers, slot.missed.end());
-    thaw_entry(entry);
+    resume_entry(entry);
     slot.frozen = true;
     slot.missed = std::move(waiting);
 }
 
-void flow_world::make_slow(int entry, duration pause_most)
+void flow_simulation::inject_entry_pauses(int entry, duration pause_most)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     slot.pause_most = pause_most;
     take_turn(entry, ++slot.slow_turns);
 }
 
-void flow_world::take_turn(int entry, std::uint64_t spell)
+void flow_simulation::take_turn(int entry, std::uint64_t spell)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     if (slot.slow_turns != spell) {
         return;
     }
     if (slot.pause_most <= duration(0)) {
-        thaw_entry(entry);
+        resume_entry(entry);
         return;
     }
     const int order = absl::Uniform(random_, 0, 4);
@@ -264,26 +264,26 @@
         let_timers(entry);
     }
     else {
-        thaw_entry(entry, order == 2);
+        resume_entry(entry, order == 2);
     }
     later(duration(absl::Uniform<std::int64_t>(random_, 0, 40'000)), [this, entry, spell] {
         entry_slot& held = entries_.at(static_cast<std::size_t>(entry));
         if (held.slow_turns != spell) {
             return;
         }
-        freeze_entry(entry);
+        pause_entry(entry);
         later(duration(absl::Uniform<std::int64_t>(random_, 0, held.pause_most.count())),
               [this, entry, spell] { take_turn(entry, spell); });
     });
 }
 
-duration flow_world::sending_delay(int entry)
+duration flow_simulation::sending_delay(int entry)
 {
     const duration most = entries_.at(static_cast<std::size_t>(entry)).pause_most / 4;
     return most > duration(0) ? duration(absl::Uniform<std::int64_t>(random_, 0, most.count())) : duration(0);
 }
 
-void flow_world::stop_by_plan(int entry)
+void flow_simulation::shut_down_entry(int entry)
 {
     on_entry(entry, entries_.at(static_cast<std::size_t>(entry)).life,
              [](flow_entry& e, instant now) { e.plan_stop(now); });
@@ -291,7 +291,7 @@
     kill_entry(entry);
 }
 
-bool flow_world::table_reached(int entry) const
+bool flow_simulation::table_reached(int entry) const
 {
     const auto cut = cut_from_table_.find(entry);
     return !table_down_ && (cut == cut_from_table_.end() || !cut->second);
@@ -300,18 +300,18 @@
 // Pages share the entry's link: each takes as many times as long as there are others on their way, and one that takes
 // longer than an answer is waited for never arrives.
 template <class Answer, class Done>
-void flow_world::read_over_link(int entry, const store_range& range, const Answer& answer, const Done& done)
+void flow_simulation::read_over_link(int entry, const store_range& range, const Answer& answer, const Done& done)
 {
     ++pages_on_link_[entry];
-    later(options_.jobs_page_time, [this, entry, range, answer, done] {
-        const duration takes = pages_on_link_[entry] * options_.jobs_page_time;
-        const duration left = std::min(takes, page_waited_for) - options_.jobs_page_time;
+    later(options_.job_page_transfer_time, [this, entry, range, answer, done] {
+        const duration takes = pages_on_link_[entry] * options_.job_page_transfer_time;
+        const duration left = std::min(takes, page_waited_for) - options_.job_page_transfer_time;
         later(left, [this, entry] { --pages_on_link_[entry]; });
         answer(done, takes > page_waited_for ? store_page{} : read(range), left);
     });
 }
 
-flow_edges flow_world::make_edges(int entry)
+flow_edges flow_simulation::make_edges(int entry)
 {
     const std::uint64_t life = entries_.at(static_cast<std::size_t>(entry)).life;
     flow_edges edges;
@@ -354,7 +354,8 @@
             return;
         }
         later(options_.table_latency, [this, entry, range, answer, done = std::move(done)] {
-            if ((range.table == jobs_table || range.table == news_table) && options_.jobs_page_time > duration(0)) {
+            if ((range.table == jobs_table || range.table == news_table) &&
+                options_.job_page_transfer_time > duration(0)) {
                 read_over_link(entry, range, answer, done);
                 return;
             }
@@ -380,10 +381,10 @@
                 page.rows.push_back({key, row.value, row.version, false});
             }
         }
-        if (options_.look_rows > 0 && page.rows.size() > options_.look_rows) {
+        if (options_.watch_page_rows > 0 && page.rows.size() > options_.watch_page_rows) {
             std::sort(page.rows.begin(), page.rows.end(),
                       [](const store_row& a, const store_row& b) { return a.version < b.version; });
-            std::size_t shown = options_.look_rows;
+            std::size_t shown = options_.watch_page_rows;
             while (shown < page.rows.size() && page.rows[shown].version == page.rows[shown - 1].version) {
                 ++shown; // rows of one transaction are not parted
             }
@@ -399,7 +400,7 @@
                   const auto at = std::find_if(workers_.begin(), workers_.end(),
                                                [&](const auto& w) { return w->address == to.address; });
                   if (at == workers_.end() || !(*at)->up || !(*at)->reachable) {
-                      const bool refused = options_.crash_refuses && at != workers_.end() && !(*at)->up;
+                      const bool refused = options_.crash_refuses_connections && at != workers_.end() && !(*at)->up;
                       answer(done, order_answer{}, refused ? options_.network_latency : timeout);
                       return;
                   }
@@ -449,7 +450,7 @@
             list = foreign_;
             for (int i = 0; i < worker_count(); ++i) {
                 const flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(i));
-                if (w.listed && w.garbled) {
+                if (w.listed && w.listing_malformed) {
                     list->unusable.push_back({w.id, "not a JSON object"});
                 }
                 else if (w.listed) {
@@ -457,9 +458,9 @@
                 }
             }
         }
-        const auto latency = options_.list_latencies.find(entry);
+        const auto latency = options_.list_latency_by_entry.find(entry);
         answer(std::move(done), list,
-               latency == options_.list_latencies.end() ? options_.list_latency : latency->second);
+               latency == options_.list_latency_by_entry.end() ? options_.list_latency : latency->second);
     };
     edges.watch_operator = [this, entry, life](row_version after, duration wait, const operator_done& done) {
         look_at_operator(entry, life, after, wait, done);
@@ -521,8 +522,8 @@
 // --- links ---
 
 // Given up whole when the last byte of the answer is not there in time.
-void flow_world::tell_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
-                                const tell_done& done)
+void flow_simulation::tell_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
+                                     const tell_done& done)
 {
     struct exchange {
         bool over = false;
@@ -551,7 +552,7 @@
         });
 }
 
-operator_update flow_world::read_operator(row_version after) const
+operator_update flow_simulation::read_operator(row_version after) const
 {
     operator_update page;
     page.reached = true;
@@ -563,8 +564,8 @@
     return page;
 }
 
-void flow_world::look_at_operator(int entry, std::uint64_t life, row_version after, duration wait,
-                                  const operator_done& done)
+void flow_simulation::look_at_operator(int entry, std::uint64_t life, row_version after, duration wait,
+                                       const operator_done& done)
 {
     const bool first = after == row_version(0);
     const auto over = std::make_shared<bool>(false);
@@ -607,7 +608,8 @@
 }
 
 // An answer that bytes arrive of is not given up.
-void flow_world::give_up_stalled(int entry, const std::function<bool()>& over, const std::function<void()>& give_up)
+void flow_simulation::give_up_stalled(int entry, const std::function<bool()>& over,
+                                      const std::function<void()>& give_up)
 {
     later(look_waited_for, [this, entry, over, give_up] {
         if (over()) {
@@ -621,21 +623,21 @@
     });
 }
 
-void flow_world::answer_looks()
+void flow_simulation::answer_looks()
 {
     for (const auto& [id, look] : std::exchange(operator_looks_, {})) {
         later(options_.network_latency, look.answer);
     }
 }
 
-void flow_world::write_config(const std::vector<std::string>& queues, std::size_t bytes)
+void flow_simulation::write_config(const std::vector<std::string>& queues, std::size_t bytes)
 {
     config_row_ = row_version(config_row_.value() + 1);
     config_text_ = write_config_text(config_row_.value(), queues, bytes);
     answer_looks();
 }
 
-void flow_world::write_unreadable_config()
+void flow_simulation::write_unreadable_config()
 {
     config_row_ = row_version(config_row_.value() + 1);
     config_text_ = "unreadable";
@@ -644,7 +646,7 @@
 
 // --- the table ---
 
-store_result flow_world::apply(const store_transaction& t)
+store_result flow_simulation::apply(const store_transaction& t)
 {
     store_result result;
     for (const store_check& check : t.checks) {
@@ -681,7 +683,7 @@
     return result;
 }
 
-store_page flow_world::read(const store_range& range)
+store_page flow_simulation::read(const store_range& range)
 {
     store_page page;
     page.reached = true;
@@ -704,7 +706,7 @@
 
 // --- workers ---
 
-void flow_world::end_run(flow_fake_worker& w, const flow_task_id& task, run_end how)
+void flow_simulation::end_run(flow_fake_worker& w, const flow_task_id& task, run_end how)
 {
     const auto at = w.running.find(task);
     w.highest[task] = std::max(w.highest[task], at->second.number);
@@ -723,10 +725,10 @@
 }
 
 // The task's step when it is a gang whose members wait for each other; else null.
-const flow_step* flow_world::waiting_step(const flow_task_id& task) const
+const flow_step* flow_simulation::waiting_step(const flow_task_id& task) const
 {
     const auto spec = specs_.find(task.job.str());
-    if (!options_.gangs_wait || spec == specs_.end()) {
+    if (!options_.gang_start_barrier || spec == specs_.end()) {
         return nullptr;
     }
     const flow_step& step = spec->second.steps.at(static_cast<std::size_t>(task.step));
@@ -734,7 +736,7 @@
 }
 
 // Every member sets to work once the last of them is there.
-void flow_world::begin_gang(const flow_task_id& task, run_number run)
+void flow_simulation::begin_gang(const flow_task_id& task, run_number run)
 {
     std::vector<flow_fake_worker::run*> members;
     for (const auto& w : workers_) {
@@ -755,7 +757,7 @@
 }
 
 // What was at work with it ends as it did if it is done, else broken; what waits for it goes on waiting.
-void flow_world::end_gang(const flow_task_id& task, run_number run, run_end how)
+void flow_simulation::end_gang(const flow_task_id& task, run_number run, run_end how)
 {
     for (const auto& w : workers_) {
         for (std::int32_t i = 0; i < waiting_step(task)->count; ++i) {
@@ -769,7 +771,7 @@
 }
 
 // Ends that nobody has confirmed when the worker's lease ends, or the worker dies, need not be known to anybody.
-void flow_world::forget_unconfirmed(flow_fake_worker& w)
+void flow_simulation::forget_unconfirmed(flow_fake_worker& w)
 {
     for (const reported_end& end : w.ends) {
         if (end.how == run_end::done && w.told.count(end.number) == 0 && w.forgotten.insert(end.number).second) {
@@ -778,7 +780,7 @@
     }
 }
 
-void flow_world::advance_worker(flow_fake_worker& w)
+void flow_simulation::advance_worker(flow_fake_worker& w)
 {
     std::vector<flow_task_id> over;
     for (const auto& [task, run] : w.running) {
@@ -798,7 +800,7 @@
             continue;
         }
         if (run.waits_until != instant::max()) {
-            if (!options_.gangs_end_alone) {
+            if (!options_.gang_timeouts_allowed) {
                 fault(text_of(task) + " waited for its gang in vain");
             }
             end_run(w, task, run_end::alone);
@@ -814,7 +816,7 @@
     }
 }
 
-std::optional<duration> flow_world::pick_delay(const worker_order& order)
+std::optional<duration> flow_simulation::pick_delay(const worker_order& order)
 {
     if (starts_to_delay_ > 0 && std::holds_alternative<start_run>(order)) {
         --starts_to_delay_;
@@ -827,8 +829,8 @@
     return std::nullopt;
 }
 
-void flow_world::hold_until_end(flow_fake_worker& w, const worker_id& life, const hold_worker& order, instant until,
-                                const std::function<void()>& answer)
+void flow_simulation::hold_until_end(flow_fake_worker& w, const worker_id& life, const hold_worker& order,
+                                     instant until, const std::function<void()>& answer)
 {
     constexpr duration look = 10ms;
     advance_worker(w);
@@ -840,7 +842,7 @@
     later(look, [this, &w, life, order, until, answer] { hold_until_end(w, life, order, until, answer); });
 }
 
-void flow_world::note_told(flow_fake_worker& w, const order_answer& answer)
+void flow_simulation::note_told(flow_fake_worker& w, const order_answer& answer)
 {
     for (const reported_end& end : answer.ends) {
         if (w.forgotten.count(end.number) == 0) {
@@ -849,7 +851,7 @@
     }
 }
 
-order_answer flow_world::carry_out(flow_fake_worker& w, const worker_order& order, bool late)
+order_answer flow_simulation::carry_out(flow_fake_worker& w, const worker_order& order, bool late)
 {
     advance_worker(w);
     order_answer answer;
@@ -890,7 +892,7 @@
     return answer;
 }
 
-order_answer flow_world::do_start(flow_fake_worker& w, const start_run& order, bool late)
+order_answer flow_simulation::do_start(flow_fake_worker& w, const start_run& order, bool late)
 {
     order_answer answer;
     const instant lease(order.lease_until.time_since_epoch() - w.clock_offset);
@@ -939,8 +941,8 @@
     if (waits) {
         begin_gang(order.task, order.run);
     }
-    if (options_.crashes_worker) {
-        if (const auto after = options_.crashes_worker(order.task, order)) {
+    if (options_.worker_crash_delay) {
+        if (const auto after = options_.worker_crash_delay(order.task, order)) {
             later(*after,
                   [this, &w, life = w.id, task = order.task, number = order.run] { crash_by(w, life, task, number); });
         }
@@ -951,7 +953,7 @@
     return answer;
 }
 
-order_answer flow_world::do_hold(flow_fake_worker& w, const hold_worker& order)
+order_answer flow_simulation::do_hold(flow_fake_worker& w, const hold_worker& order)
 {
     order_answer answer;
     answer.result = order_result::accepted;
@@ -973,27 +975,27 @@
     return answer;
 }
 
-void flow_world::crash_worker(int worker, bool comes_back)
+void flow_simulation::crash_worker(int worker, bool comes_back)
 {
     crash(*workers_.at(static_cast<std::size_t>(worker)), comes_back ? std::optional<duration>(1s) : std::nullopt);
 }
 
-void flow_world::crash_by(flow_fake_worker& w, const worker_id& life, const flow_task_id& task, run_number run)
+void flow_simulation::crash_by(flow_fake_worker& w, const worker_id& life, const flow_task_id& task, run_number run)
 {
     const auto at = w.running.find(task);
     if (w.id == life && w.up && at != w.running.end() && at->second.number == run) {
         ++crashes_under_[task];
-        crash(w, options_.crash_away);
+        crash(w, options_.crash_restart_delay);
     }
 }
 
-int flow_world::crashes_under(const flow_task_id& task) const
+int flow_simulation::crash_count_of(const flow_task_id& task) const
 {
     const auto at = crashes_under_.find(task);
     return at == crashes_under_.end() ? 0 : at->second;
 }
 
-void flow_world::set_room(int worker, resources room, duration told_after)
+void flow_simulation::set_worker_capacity(int worker, resources room, duration told_after)
 {
     flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(worker));
     w.rooms_before.emplace_back(now_ + options_.shrunk_room_grace, w.room);
@@ -1002,7 +1004,7 @@
     later(told_after, [&w, room] { w.room_told = room; });
 }
 
-void flow_world::crash(flow_fake_worker& w, std::optional<duration> away)
+void flow_simulation::crash(flow_fake_worker& w, std::optional<duration> away)
 {
     if (!w.up) {
         return; // it would begin its next life twice, the second time with the runs and ends of the first
@@ -1025,7 +1027,7 @@
     }
 }
 
-void flow_world::start_next_life(flow_fake_worker& w)
+void flow_simulation::start_next_life(flow_fake_worker& w)
 {
     w.id = worker_id(w.id.str() + "'");
     w.up = true;
@@ -1037,7 +1039,7 @@
     w.lease_until = instant{};
 }
 
-void flow_world::replace_worker(int worker, duration drain, duration gap)
+void flow_simulation::replace_worker(int worker, duration drain, duration gap)
 {
     flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(worker));
     if (!w.up || w.draining) {
@@ -1050,7 +1052,7 @@
     });
 }
 
-void flow_world::accept_unheard(const std::string& job, const cell_id& cell, const flow_spec& spec)
+void flow_simulation::insert_unannounced_job(const std::string& job, const cell_id& cell, const flow_spec& spec)
 {
     specs_[job] = spec;
     wire::flow_job_row row = make_job_row(spec);
@@ -1064,7 +1066,7 @@
     rows_[job_row_key(accepted_row(cell, job_id(job)))] = {encode_compact(row), row_version(version_)};
 }
 
-void flow_world::put_row(const job_row_name& name, const wire::flow_job_row& row)
+void flow_simulation::put_job_row(const job_row_name& name, const wire::flow_job_row& row)
 {
     rows_[job_row_key(name)] = {encode_compact(row), row_version(++version_)};
 }
@@ -1078,22 +1080,22 @@
 
 } // namespace
 
-void flow_world::put_earlier_job(const std::string& job)
+void flow_simulation::put_legacy_job(const std::string& job)
 {
     rows_[earlier_key(job)] = {encode_compact(make_job_row(chain_spec(1, 1))), row_version(++version_)};
 }
 
-void flow_world::remove_earlier_job(const std::string& job)
+void flow_simulation::remove_legacy_job(const std::string& job)
 {
     rows_.erase(earlier_key(job));
 }
 
-void flow_world::spoil_row(const job_row_name& name)
+void flow_simulation::corrupt_row(const job_row_name& name)
 {
     rows_.at(job_row_key(name)) = {"no row", row_version(++version_)};
 }
 
-std::int64_t flow_world::rows_of(const std::string& job) const
+std::int64_t flow_simulation::count_owner_rows(const std::string& job) const
 {
     return std::count_if(rows_.begin(), rows_.end(), [&job](const auto& row) {
         return (row.first.table == jobs_table || row.first.table == news_table) &&
@@ -1101,21 +1103,21 @@
     });
 }
 
-std::int32_t flow_world::outcome_in_row(const std::string& job) const
+std::int32_t flow_simulation::stored_outcome(const std::string& job) const
 {
     std::string reason;
     const auto row = decode_compact<wire::flow_job_row>(rows_.at(index_key(job_id(job))).value, &reason);
     return row ? row->outcome : 0;
 }
 
-void flow_world::end_unheard(int worker, const flow_task_id& task, run_number run)
+void flow_simulation::end_unannounced_run(int worker, const flow_task_id& task, run_number run)
 {
     flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(worker));
     w.running[task].number = run;
     end_run(w, task, run_end::done);
 }
 
-void flow_world::run_unheard(int worker, const flow_task_id& task, run_number run, duration takes)
+void flow_simulation::start_unannounced_run(int worker, const flow_task_id& task, run_number run, duration takes)
 {
     flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(worker));
     flow_fake_worker::run& live = w.running[task];
@@ -1125,7 +1127,7 @@
     live.ends = now_ + takes;
 }
 
-void flow_world::forget_noted_starts()
+void flow_simulation::strip_start_records()
 {
     for (auto& [key, row] : rows_) {
         if ((key.table == jobs_table && !is_fence(key)) || key.table == news_table) {
@@ -1145,7 +1147,7 @@
     }
 }
 
-void flow_world::fail_run(const flow_task_id& task)
+void flow_simulation::fail_run(const flow_task_id& task)
 {
     for (const auto& w : workers_) {
         if (w->running.count(task) != 0) {
@@ -1156,13 +1158,13 @@
 
 // --- promises ---
 
-void flow_world::fault(const std::string& what)
+void flow_simulation::fault(const std::string& what)
 {
     faults_.push_back(
         fmt::format("{:.3f} s: {}", std::chrono::duration<double>(now_.time_since_epoch()).count(), what));
 }
 
-void flow_world::check_start(const flow_fake_worker& w, const start_run& order, bool late)
+void flow_simulation::check_start(const flow_fake_worker& w, const start_run& order, bool late)
 {
     const flow_task_id& task = order.task;
     const auto spec = specs_.find(task.job.str());
@@ -1183,7 +1185,7 @@
     if (failed_[task] >= failures_most && !step.lasting) {
         fault(text_of(task) + " started after it had failed for the last time");
     }
-    if (crashes_under(task) >= crashes_most && !late && ++starts_after_crashes_[task] > starts_after_most) {
+    if (crash_count_of(task) >= crashes_most && !late && ++starts_after_crashes_[task] > starts_after_most) {
         fault(text_of(task) + " started three times more after three workers had crashed under it");
     }
     if (cancelled_.count(task.job.str()) != 0 && !late) {
@@ -1211,7 +1213,7 @@
 }
 
 // Tasks of cancelled jobs that go on, whether they were started before or late.
-void flow_world::check_cancelled()
+void flow_simulation::check_cancelled()
 {
     for (const auto& w : workers_) {
         if (!w->up || !w->reachable) {
@@ -1234,7 +1236,7 @@
 
 // --- callers ---
 
-void flow_world::send_submit(int entry, const std::string& job, const flow_spec& spec, const std::string& queue)
+void flow_simulation::send_submit(int entry, const std::string& job, const flow_spec& spec, const std::string& queue)
 {
     specs_[job] = spec;
     answers_[job];
@@ -1250,7 +1252,8 @@
              });
 }
 
-caller_result flow_world::submit(int entry, const std::string& job, const flow_spec& spec, const std::string& queue)
+caller_result flow_simulation::submit(int entry, const std::string& job, const flow_spec& spec,
+                                      const std::string& queue)
 {
     const std::size_t before = answers_[job].size();
     send_submit(entry, job, spec, queue);
@@ -1258,7 +1261,7 @@
     return answers_[job].size() > before ? answers_[job].back() : caller_result::outcome_unknown;
 }
 
-caller_result flow_world::cancel(int entry, const std::string& job)
+caller_result flow_simulation::cancel(int entry, const std::string& job)
 {
     // Kept alive by the reply, which may come after this call has given up.
     const auto result = std::make_shared<std::optional<caller_result>>();
@@ -1281,7 +1284,7 @@
     return result->value_or(caller_result::outcome_unknown);
 }
 
-std::optional<flow_state> flow_world::state(int entry, const std::string& job)
+std::optional<flow_state> flow_simulation::state(int entry, const std::string& job)
 {
     const auto result = std::make_shared<std::optional<caller_answer>>();
     caller_request request;
@@ -1298,7 +1301,7 @@
     return (*result)->state;
 }
 
-void flow_world::ask_pending(int entry, std::function<void(const caller_answer&)> told)
+void flow_simulation::ask_pending(int entry, std::function<void(const caller_answer&)> told)
 {
     caller_request request;
     request.verb = caller_verb::state;
@@ -1308,7 +1311,7 @@
              [request, told = std::move(told)](flow_entry& e, instant now) { e.on_request(now, request, told); });
 }
 
-std::int64_t flow_world::pending(int entry)
+std::int64_t flow_simulation::pending(int entry)
 {
     const auto result = std::make_shared<std::optional<caller_answer>>();
     ask_pending(entry, [result](const caller_answer& answer) { *result = answer; });
@@ -1316,13 +1319,13 @@
     return *result && (*result)->result == caller_result::pending ? (*result)->pending : -1;
 }
 
-std::int64_t flow_world::starts_of(const std::string& job) const
+std::int64_t flow_simulation::count_job_starts(const std::string& job) const
 {
     const auto at = starts_.find(job);
     return at == starts_.end() ? 0 : at->second;
 }
 
-std::int64_t flow_world::running_of(const std::string& job) const
+std::int64_t flow_simulation::count_running_tasks(const std::string& job) const
 {
     std::int64_t n = 0;
     for (const auto& w : workers_) {
@@ -1332,7 +1335,7 @@
     return n;
 }
 
-std::int64_t flow_world::running_count() const
+std::int64_t flow_simulation::count_all_running_tasks() const
 {
     std::int64_t n = 0;
     for (const auto& w : workers_) {
@@ -1341,7 +1344,7 @@
     return n;
 }
 
-flow_listed_worker flow_world::listing_of(int worker) const
+flow_listed_worker flow_simulation::listing_of(int worker) const
 {
     const flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(worker));
     return {w.id,
@@ -1354,19 +1357,19 @@
             w.draining};
 }
 
-std::int64_t flow_world::logged(const std::string& subject, const std::string& event) const
+std::int64_t flow_simulation::count_log_events(const std::string& subject, const std::string& event) const
 {
     const auto at = logged_.find(subject + ' ' + event);
     return at == logged_.end() ? 0 : at->second;
 }
 
-std::int64_t flow_world::looks_at_jobs(int entry) const
+std::int64_t flow_simulation::job_watch_count(int entry) const
 {
     const auto at = looks_at_jobs_.find(entry);
     return at == looks_at_jobs_.end() ? 0 : at->second;
 }
 
-int flow_world::owners_of(const std::string& cell) const
+int flow_simulation::count_owners(const std::string& cell) const
 {
     int n = 0;
     for (const entry_slot& slot : entries_) {
--- a/tests/support_flow_world.h
+++ b/tests/support_flow_simulation.h
@@ -28,9 +28,9 @@
     bool up = true;
     bool listed = true;
     bool draining = false;
-    bool reachable = true; // its orders and answers pass
-    bool garbled = false;  // another writer has made its entry in the list unreadable
-    double slowness = 1;   // what starts from now on takes this much longer
+    bool reachable = true;          // its orders and answers pass
+    bool listing_malformed = false; // another writer has made its entry in the list unreadable
+    double slowness = 1;            // what starts from now on takes this much longer
     duration clock_offset{0};
     epoch fence;
     instant lease_until{};
@@ -57,37 +57,38 @@
     std::int64_t starts = 0;
 };
 
-class flow_world {
+class flow_simulation {
 public:
     struct options {
         std::uint64_t seed = 1;
         bool verbose = false; // prints what the entries log
         std::vector<std::string> data_centres{"a"};
-        int entries_each = 2;
-        int workers_each = 3;
+        int entries_per_data_centre = 2;
+        int workers_per_data_centre = 3;
         int rack_size = 0;         // workers of a data centre in one rack; 0: all
         std::vector<double> cores; // of the entries of a data centre, in turn; empty: 1
-        std::int64_t worker_cpu = 16000;
+        std::int64_t worker_cpu_millis = 16000;
         duration table_latency = std::chrono::milliseconds(8);
         duration network_latency = std::chrono::milliseconds(2);
         // Of each entry's link, which messages between entries and configurations share; 0: they take no time.
         double link_bytes_per_s = 0;
-        duration jobs_page_time{0}; // over the entry's link, for each page at a time
+        duration job_page_transfer_time{0}; // over the entry's link, for each page at a time
         // That one look at changes shows, the oldest, with the table's newest version; 0: all.
-        std::size_t look_rows = 0;
+        std::size_t watch_page_rows = 0;
         duration list_latency = std::chrono::milliseconds(100);         // of the list of workers
-        std::map<int, duration> list_latencies;                         // of entries for which it is another
+        std::map<int, duration> list_latency_by_entry;                  // of entries for which it is another
         std::function<bool(const flow_task_id&, run_number)> run_fails; // empty: none fails
         std::function<duration(const flow_task_id&)> run_time;          // empty: 300 ms
-        bool gangs_wait = false;      // for all members of a run, on all workers, and end with the first that ends
-        bool gangs_end_alone = false; // a member that waited in vain is no fault: something was impaired
-        duration stop_time{0};        // that a stop takes
+        bool gang_start_barrier = false; // for all members of a run, on all workers, and end with the first that ends
+        bool gang_timeouts_allowed = false; // a member that waited in vain is no fault: something was impaired
+        duration stop_time{0};              // that a stop takes
         // How long after its start the task crashes its worker, without a trace; empty: it does not.
-        std::function<std::optional<duration>(const flow_task_id&, const start_run&)> crashes_worker;
-        duration crash_away = std::chrono::seconds(1); // until a crashed worker's next life begins
+        std::function<std::optional<duration>(const flow_task_id&, const start_run&)> worker_crash_delay;
+        duration crash_restart_delay = std::chrono::seconds(1); // until a crashed worker's next life begins
         // Until starts are checked against a room that has shrunk: for it to be told, and heard.
         duration shrunk_room_grace = std::chrono::milliseconds(4500);
-        bool crash_refuses = false; // connections to a crashed worker fail at once; else nothing answers there
+        bool crash_refuses_connections =
+            false; // connections to a crashed worker fail at once; else nothing answers there
         // An end counts as known for good once an answer that lists it has left, whether or not it is confirmed. The
         // rules hold this against an owner that is just slow; where answers are lost and entries killed, they don't.
         // `heard_counts`: only from when the entry has handled that answer.
@@ -97,8 +98,8 @@
             0};                  // of the answers to exchanges, on top of the latency: other answers overtake them
         bool holds_wait = false; // for an end, as long as the order allows; else 50 ms, which takes less to play
     };
-    explicit flow_world(options o);
-    ~flow_world();
+    explicit flow_simulation(options o);
+    ~flow_simulation();
 
     instant now() const { return now_; }
     void run_for(duration d);
@@ -120,22 +121,22 @@
     void kill_entry(int entry);
     // The entry stands still: what reaches it meanwhile, its own timers too, it handles when it goes on, in the order
     // in which it came or the newest first.
-    void freeze_entry(int entry);
-    void thaw_entry(int entry, bool newest_first = false);
+    void pause_entry(int entry);
+    void resume_entry(int entry, bool newest_first = false);
     // Its own timers get their turn, while answers still wait.
     void let_timers(int entry);
     // From now on the entry gets its processor in turns, up to `pause_most` apart: what reached it since the last one
     // it handles at once, timers and answers in any order, and its orders leave late. 0: it is as quick as any again.
-    void make_slow(int entry, duration pause_most);
+    void inject_entry_pauses(int entry, duration pause_most);
     void start_entry(int entry);
-    void stop_by_plan(int entry);
+    void shut_down_entry(int entry);
     void set_table_down(bool down) { table_down_ = down; }
     void set_table_latency(duration latency) { options_.table_latency = latency; }
     void cut_entry_from_table(int entry, bool cut) { cut_from_table_[entry] = cut; }
     void cut_entry_from_peers(int entry, bool cut) { cut_from_peers_[entry] = cut; }
-    void lose_next_answers(int n) { answers_to_lose_ = n; }
+    void drop_next_table_answers(int n) { answers_to_lose_ = n; }
     // The table discards its history: an entry that asks for changes next has to read the rows anew.
-    void forget_history() { ++history_; }
+    void discard_change_history() { ++history_; }
     // The next write of a job's row by its owner gets no answer and comes into force after `d`.
     void delay_next_row_write(duration d) { row_write_delay_ = d; }
     // From now on this share of the orders to workers gets no answer and is carried out 2 to 12 s later.
@@ -149,41 +150,41 @@
     // While set, workers refuse starts for want of room.
     void refuse_starts(bool refused) { starts_refused_ = refused; }
     // While set, stops get no answer and are not carried out.
-    void lose_stops(bool lost) { stops_lost_ = lost; }
+    void drop_stop_orders(bool lost) { stops_lost_ = lost; }
     // What another writer has put into the list of workers.
-    void list_foreign(flow_listed_worker entry) { foreign_.workers.push_back(std::move(entry)); }
-    void list_unusable(flow_unusable_entry entry) { foreign_.unusable.push_back(std::move(entry)); }
+    void add_foreign_listing(flow_listed_worker entry) { foreign_.workers.push_back(std::move(entry)); }
+    void add_unusable_listing(flow_unusable_entry entry) { foreign_.unusable.push_back(std::move(entry)); }
     flow_listed_worker listing_of(int worker) const;
     void crash_worker(int worker, bool comes_back);
     // How often the task has crashed its worker.
-    int crashes_under(const flow_task_id& task) const;
+    int crash_count_of(const flow_task_id& task) const;
     // The room changes now; what the list says of it follows `told_after` later.
-    void set_room(int worker, resources room, duration told_after);
+    void set_worker_capacity(int worker, resources room, duration told_after);
     // It says that it leaves, serves for `drain` and exits; `gap` later another life starts at its address.
     void replace_worker(int worker, duration drain, duration gap);
     // A job in the table that no owner has been told of, and an end `done` of one of its tasks, as an earlier owner of
     // the cell leaves them.
-    void accept_unheard(const std::string& job, const cell_id& cell, const flow_spec& spec);
+    void insert_unannounced_job(const std::string& job, const cell_id& cell, const flow_spec& spec);
     // A row as some entry has written it.
-    void put_row(const job_row_name& name, const wire::flow_job_row& row);
+    void put_job_row(const job_row_name& name, const wire::flow_job_row& row);
     // A job as a release left it that kept one row a job.
-    void put_earlier_job(const std::string& job);
-    void remove_earlier_job(const std::string& job);
+    void put_legacy_job(const std::string& job);
+    void remove_legacy_job(const std::string& job);
     // Puts bytes in a row's place that nobody can read.
-    void spoil_row(const job_row_name& name);
+    void corrupt_row(const job_row_name& name);
     // How many rows tell owners of the job.
-    std::int64_t rows_of(const std::string& job) const;
+    std::int64_t count_owner_rows(const std::string& job) const;
     // As the table has it; 0: the job has not ended.
-    std::int32_t outcome_in_row(const std::string& job) const;
-    void end_unheard(int worker, const flow_task_id& task, run_number run);
+    std::int32_t stored_outcome(const std::string& job) const;
+    void end_unannounced_run(int worker, const flow_task_id& task, run_number run);
     // A run of such a job that goes on.
-    void run_unheard(int worker, const flow_task_id& task, run_number run, duration takes);
+    void start_unannounced_run(int worker, const flow_task_id& task, run_number run, duration takes);
     // The operator writes a configuration with these queues, padded to `bytes`. Versions count from 1, which has `q`.
     void write_config(const std::vector<std::string>& queues, std::size_t bytes);
     // One that no entry can read.
     void write_unreadable_config();
     // Leaves out of all rows of jobs, and of cells, what an earlier release does not know: where tasks were started.
-    void forget_noted_starts();
+    void strip_start_records();
     // Ends a run by its own fault, wherever it is.
     void fail_run(const flow_task_id& task);
     flow_fake_worker& worker(int n) { return *workers_.at(static_cast<std::size_t>(n)); }
@@ -191,24 +192,24 @@
     flow_entry* entry(int n) { return entries_.at(static_cast<std::size_t>(n)).decisions.get(); }
     // One more, listed from now on; its number.
     int add_worker(const std::string& data_centre, const std::string& rack);
-    void drop_worker_listing(int worker, bool drop) { workers_.at(static_cast<std::size_t>(worker))->listed = !drop; }
+    void set_worker_unlisted(int worker, bool drop) { workers_.at(static_cast<std::size_t>(worker))->listed = !drop; }
 
     // --- what was seen ---
     // Broken promises, in words; empty when none.
-    const std::vector<std::string>& faults() const { return faults_; }
+    const std::vector<std::string>& invariant_violations() const { return faults_; }
     // Over its link, so far.
     double bytes_to(int entry) const { return links_.bytes_to(entry); }
     // How often the entry has asked the table for changes of jobs.
-    std::int64_t looks_at_jobs(int entry) const;
-    std::int64_t logged(const std::string& subject, const std::string& event) const;
-    std::int64_t starts_of(const std::string& job) const;
-    std::int64_t running_of(const std::string& job) const;
-    std::int64_t running_count() const;
-    int owners_of(const std::string& cell) const;
+    std::int64_t job_watch_count(int entry) const;
+    std::int64_t count_log_events(const std::string& subject, const std::string& event) const;
+    std::int64_t count_job_starts(const std::string& job) const;
+    std::int64_t count_running_tasks(const std::string& job) const;
+    std::int64_t count_all_running_tasks() const;
+    int count_owners(const std::string& cell) const;
     // Writes to the table that were applied, to rows of jobs.
     std::int64_t job_writes() const { return job_writes_; }
     // Writes to them that were refused, since a row was not as the writer knew it.
-    std::int64_t job_writes_refused() const { return job_writes_refused_; }
+    std::int64_t job_write_conflicts() const { return job_writes_refused_; }
     // Rows of jobs and news of them that entries have read, looks at changes aside.
     std::int64_t job_rows_read() const { return job_rows_read_; }
 
--- a/tests/support_pending.h
+++ b/tests/support_pending.h
@@ -10,17 +10,17 @@
 #include <utility>
 #include <vector>
 
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 namespace skylarkhub::test {
 
-class pending_check {
+class pending_count_checker {
 public:
     static constexpr duration counted_after = std::chrono::seconds(5); // an accepted job is in every count from then on
-    static constexpr duration told_most = std::chrono::seconds(3);     // a caller waits no longer
-    static constexpr double refused_most = 0.05;                       // of the questions
+    static constexpr duration answer_time_limit = std::chrono::seconds(3); // a caller waits no longer
+    static constexpr double refused_most = 0.05;                           // of the questions
 
-    explicit pending_check(flow_world& world) : world_(world), begun_(world.now()) {}
+    explicit pending_count_checker(flow_simulation& world) : world_(world), begun_(world.now()) {}
 
     // A job that no worker has room for.
     void submit(int entry)
@@ -31,7 +31,7 @@
     }
 
     // To be called often: a job counts as accepted from when this sees it.
-    void note_accepted()
+    void record_accepted()
     {
         std::erase_if(sent_, [this](const std::string& job) {
             const auto at = world_.answers().find(job);
@@ -55,7 +55,7 @@
     }
 
     // Its open questions are not answered any more.
-    void note_killed(int entry) { killed_ += std::exchange(open_[entry], 0); }
+    void record_killed(int entry) { killed_ += std::exchange(open_[entry], 0); }
 
     void check(std::int64_t asked_least) const
     {
@@ -83,7 +83,7 @@
     void note_told(int entry, std::int64_t due, instant asked, const caller_answer& answer)
     {
         --open_[entry];
-        late_ += world_.now() - asked > told_most ? 1 : 0;
+        late_ += world_.now() - asked > answer_time_limit ? 1 : 0;
         if (answer.result == caller_result::retry_later) {
             ++refused_;
             BOOST_TEST(answer.retry_delay > duration(0));
@@ -101,7 +101,7 @@
         }
     }
 
-    flow_world& world_;
+    flow_simulation& world_;
     instant begun_;
     std::int64_t submitted_ = 0;
     std::vector<std::string> sent_; // not answered yet
@@ -111,7 +111,7 @@
     std::map<int, std::int64_t> open_; // by entry
     std::int64_t told_ = 0;
     std::int64_t refused_ = 0;
-    std::int64_t late_ = 0;      // told or refused after `told_most`
+    std::int64_t late_ = 0;      // told or refused after `answer_time_limit`
     std::int64_t short_ = 0;     // less than half of what is due
     std::int64_t most_over_ = 0; // more than was handed in
     std::string first_short_;
--- a/tests/test_flow.cpp
+++ b/tests/test_flow.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -18,7 +18,7 @@
 // No work that ends has come for so long that lasting jobs need to leave no more than the least for it.
 constexpr duration watched_long = 40s;
 
-bool is_done(flow_world& w, int entry, const std::string& job)
+bool is_done(flow_simulation& w, int entry, const std::string& job)
 {
     return w.state(entry, job) == flow_state::done;
 }
@@ -27,19 +27,19 @@
 
 BOOST_AUTO_TEST_CASE(steps_run_in_order_and_the_job_is_shown_done_at_every_entry)
 {
-    flow_world w({.data_centres = {"a", "b"}});
+    flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(3, 4)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return is_done(w, 0, job_a); }, 10s));
     BOOST_TEST(is_done(w, 3, job_a));
-    BOOST_TEST(w.starts_of(job_a) == 12);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 12);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(the_same_job_through_two_entries_is_one_job)
 {
     // The caller gets no answer from one entry in time and asks another. Both answer "accepted"; the tasks run once.
-    flow_world w({.data_centres = {"a", "b"}});
+    flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(2s);
     w.send_submit(0, job_a, chain_spec(1, 5));
     w.send_submit(2, job_a, chain_spec(1, 5));
@@ -49,56 +49,56 @@
     }
     BOOST_REQUIRE(w.run_until([&] { return is_done(w, 0, job_a); }, 10s));
     w.run_for(5s);
-    BOOST_TEST(w.starts_of(job_a) == 5);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 5);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_lost_answer_of_the_table_is_settled_not_refused)
 {
     // The table applies the accepting write and its answer is lost. The caller must not be told "did not run": the
     // entry writes again, finds its own row there, and says "accepted".
-    flow_world w({});
+    flow_simulation w({});
     w.run_for(2s);
-    w.lose_next_answers(1);
+    w.drop_next_table_answers(1);
     w.send_submit(0, job_a, chain_spec(1, 2));
     BOOST_REQUIRE(w.run_until([&] { return !w.answers().at(job_a).empty(); }, 5s));
     BOOST_TEST((w.answers().at(job_a).front() == caller_result::accepted));
     BOOST_TEST(w.run_until([&] { return is_done(w, 1, job_a); }, 10s));
-    BOOST_TEST(w.starts_of(job_a) == 2);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 2);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_job_that_failed_for_good_is_not_taken_up_again)
 {
     // Every run fails. The job is shown as failed after its last permitted run, and stays so: pages of the table that
     // were read before its last write still show it going on, and taken up again its runs would begin anew.
-    flow_world w({.run_fails = [](const flow_task_id&, run_number) { return true; }});
+    flow_simulation w({.run_fails = [](const flow_task_id&, run_number) { return true; }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return w.state(0, job_a) == flow_state::failed; }, 20s));
     w.run_for(15s);
-    BOOST_TEST(w.starts_of(job_a) == 3);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 3);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_killed_owner_is_followed_by_one_that_adopts_what_runs)
 {
     // The owner dies while tasks run. The other entry takes the cell over, fences the workers and finds the tasks
     // there: none is started a second time, and the job ends.
-    flow_world w({.run_time = [](const flow_task_id&) { return duration(8s); }});
+    flow_simulation w({.run_time = [](const flow_task_id&) { return duration(8s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     const int owner = w.entry(0)->cells().at(cell_id("a"))->owns() ? 0 : 1;
     w.kill_entry(owner);
     BOOST_REQUIRE(w.run_until([&] { return is_done(w, 1 - owner, job_a); }, 20s));
-    BOOST_TEST(w.starts_of(job_a) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 6);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(all_entries_lose_power_and_go_on_from_table_and_workers)
 {
-    flow_world w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(2s); }});
+    flow_simulation w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(2s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(3, 5)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(2, job_b, lasting_spec(4, 2000)) == caller_result::accepted);
@@ -111,8 +111,8 @@
         w.start_entry(i);
     }
     BOOST_TEST(w.run_until([&] { return is_done(w, 1, job_a); }, 20s));
-    BOOST_TEST(w.running_of(job_b) == 4);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_b) == 4);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_taker_that_reads_an_empty_list_starts_nothing_twice)
@@ -120,34 +120,34 @@
     // The platform's list has lost every worker of the cell, as it does while it cannot be written, and the owner dies.
     // The taker would believe that nothing runs and start everything again; the cell's row names the workers, so it
     // asks them.
-    flow_world w({.run_time = [](const flow_task_id&) { return duration(15s); }});
+    flow_simulation w({.run_time = [](const flow_task_id&) { return duration(15s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     w.run_for(2s);
     for (int i = 0; i < w.worker_count(); ++i) {
-        w.drop_worker_listing(i, true);
+        w.set_worker_unlisted(i, true);
     }
     w.kill_entry(0);
     w.kill_entry(1);
     w.start_entry(0);
     w.run_for(3s);
     for (int i = 0; i < w.worker_count(); ++i) {
-        w.drop_worker_listing(i, false);
+        w.set_worker_unlisted(i, false);
     }
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 30s));
-    BOOST_TEST(w.starts_of(job_a) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 6);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(nothing_starts_beside_runs_that_the_ledger_does_not_know)
 {
     // Workers are full when all entries lose power, and a new job waits. The new owner hears of runs whose job's row it
     // has not read yet; a start beside them would go over the worker's room.
-    flow_world w({.workers_each = 1, .run_time = [](const flow_task_id&) { return duration(6s); }});
+    flow_simulation w({.workers_per_data_centre = 1, .run_time = [](const flow_task_id&) { return duration(6s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 4, 4000)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 4; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 4; }, 5s));
     w.kill_entry(0);
     w.kill_entry(1);
     w.start_entry(0);
@@ -155,7 +155,7 @@
     w.run_for(2s);
     w.submit(0, job_b, chain_spec(1, 4, 4000));
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_b); }, 30s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_stop_outlives_its_owners_silence)
@@ -163,98 +163,100 @@
     // The owner is cut off from the table for longer than it may go on without a renewal, and hears of a cancelled job
     // in that time. A stop dropped then would leave the tasks running under the holds that follow once the cut is
     // healed.
-    flow_world w(
-        {.data_centres = {"a"}, .entries_each = 1, .run_time = [](const flow_task_id&) { return duration(60s); }});
+    flow_simulation w({.data_centres = {"a"}, .entries_per_data_centre = 1, .run_time = [](const flow_task_id&) {
+                           return duration(60s);
+                       }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 3)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 3; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 3; }, 5s));
     w.cut_entry_from_table(0, true);
     w.run_for(10200ms);
     w.cut_entry_from_table(0, false);
     BOOST_TEST((w.cancel(0, job_a) == caller_result::cancelled));
     w.run_for(4s);
-    BOOST_TEST(w.running_of(job_a) == 0);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 0);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_cancelled_job_stops_and_stays_so)
 {
-    flow_world w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(20s); }});
+    flow_simulation w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(20s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(2, 6)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     BOOST_TEST((w.cancel(3, job_a) == caller_result::cancelled));
     w.run_for(1s);
-    BOOST_TEST(w.running_of(job_a) == 0);
+    BOOST_TEST(w.count_running_tasks(job_a) == 0);
     BOOST_TEST((w.state(1, job_a) == flow_state::cancelled));
     w.run_for(10s);
-    BOOST_TEST(w.starts_of(job_a) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 6);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(running_work_goes_on_while_the_table_is_down)
 {
     // The table is away for nine seconds. What runs goes on, the next steps start, and the end is shown once it is
     // durable.
-    flow_world w({.run_time = [](const flow_task_id&) { return duration(1500ms); }});
+    flow_simulation w({.run_time = [](const flow_task_id&) { return duration(1500ms); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(4, 3)) == caller_result::accepted);
     w.run_for(500ms);
     w.set_table_down(true);
     w.run_for(9s);
-    BOOST_TEST(w.starts_of(job_a) == 12);
+    BOOST_TEST(w.count_job_starts(job_a) == 12);
     BOOST_TEST((w.state(0, job_a) != flow_state::done));
     w.set_table_down(false);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 10s));
-    BOOST_TEST(w.starts_of(job_a) == 12);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 12);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_crashed_workers_tasks_start_again_once_its_next_life_is_listed)
 {
-    flow_world w({.run_time = [](const flow_task_id&) { return duration(5s); }});
+    flow_simulation w({.run_time = [](const flow_task_id&) { return duration(5s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 9)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 9; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 9; }, 5s));
     w.crash_worker(0, true);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 25s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_worker_that_is_cut_off_keeps_its_tasks_until_its_lease_has_ended)
 {
     // The worker runs on behind the cut. Its tasks start elsewhere only when its lease has certainly ended there.
-    flow_world w({.run_time = [](const flow_task_id&) { return duration(30s); }});
+    flow_simulation w({.run_time = [](const flow_task_id&) { return duration(30s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
-    const std::int64_t before = w.starts_of(job_a);
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
+    const std::int64_t before = w.count_job_starts(job_a);
     w.worker(0).reachable = false;
     w.run_for(4s);
-    BOOST_TEST(w.starts_of(job_a) == before);
+    BOOST_TEST(w.count_job_starts(job_a) == before);
     w.run_for(12s);
-    BOOST_TEST(w.starts_of(job_a) > before);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) > before);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_task_without_room_goes_to_a_cell_that_has_some)
 {
     // Lasting tasks fill one cell; the workers of the other stand empty. A task of a job bound to the full cell must
     // not wait there: it is given to the other cell, and runs once.
-    flow_world w(
-        {.data_centres = {"a", "b"}, .workers_each = 1, .run_time = [](const flow_task_id&) { return duration(1s); }});
+    flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 1, .run_time = [](const flow_task_id&) {
+                           return duration(1s);
+                       }});
     w.run_for(watched_long);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 4000)) == caller_result::accepted);
     w.run_for(8s);
-    BOOST_TEST(w.running_of(job_a) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 6);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(an_entry_that_the_table_turns_away_goes_on_through_a_peer)
 {
     // The table turns one entry away for eight seconds, the owner of the only cell, and serves the other. Its callers
     // would see their jobs done only after that, and new ones told to come back. Its calls go through the other entry.
-    flow_world w({});
+    flow_simulation w({});
     w.run_for(2s);
     const int owner = w.entry(0)->cells().begin()->second->owns() ? 0 : 1;
     w.cut_entry_from_table(owner, true);
@@ -268,26 +270,27 @@
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(owner, job_b, chain_spec(1, 2)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, owner, job_b); }, 3s));
-    BOOST_TEST(w.starts_of(job_a) == 8);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 8);
+    check_no_violations(w);
 }
 
 // A look at the changes of a busy site that shows only some of them leaves the rest to the looks of the next seconds.
 BOOST_AUTO_TEST_CASE(an_owner_looks_on_where_one_look_does_not_show_all_jobs)
 {
-    flow_world w({.workers_each = 12, .look_rows = 5});
+    flow_simulation w({.workers_per_data_centre = 12, .watch_page_rows = 5});
     w.run_for(3s);
     std::vector<std::string> jobs;
     for (int i = 1; i <= 40; ++i) {
         jobs.push_back(fmt::format("{:016x}", i));
-        w.accept_unheard(jobs.back(), cell_id("a"), chain_spec(1, 1));
+        w.insert_unannounced_job(jobs.back(), cell_id("a"), chain_spec(1, 1));
     }
     const auto started = [&] {
-        return std::count_if(jobs.begin(), jobs.end(), [&](const std::string& job) { return w.starts_of(job) == 1; });
+        return std::count_if(jobs.begin(), jobs.end(),
+                             [&](const std::string& job) { return w.count_job_starts(job) == 1; });
     };
     w.run_until([&] { return started() == 40; }, 4s);
     BOOST_TEST(started() == 40);
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(lasting_tasks_leave_room_to_short_work)
@@ -295,27 +298,27 @@
     // Standing watches come until they hold every processor; then a page check waits for minutes, and the last watches
     // wait for each other. One that does not fit beside the share of short work is told so at once, and when to come
     // back; a check that comes then starts at once.
-    flow_world w({.workers_each = 4});
+    flow_simulation w({.workers_per_data_centre = 4});
     w.run_for(watched_long);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 8000)) == caller_result::accepted);
     w.run_for(1s);
     BOOST_TEST((w.submit(1, job_b, lasting_spec(2, 8000)) == caller_result::rejected));
     BOOST_REQUIRE(w.submit(1, "00000000000000cc", chain_spec(1, 2, 8000)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, 1, "00000000000000cc"); }, 1s));
-    BOOST_TEST(w.running_of(job_b) == 0);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_b) == 0);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_job_that_is_there_is_not_refused_for_want_of_room)
 {
     // The caller's first try got no answer, and the job it handed in fills the site. It asks again through another
     // entry: "refused, will never run" would be false, and make it hand the same watch in a second time.
-    flow_world w({.workers_each = 2});
+    flow_simulation w({.workers_per_data_centre = 2});
     w.run_for(watched_long);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(3, 8000)) == caller_result::accepted);
     w.run_for(1s);
     BOOST_TEST((w.submit(1, job_a, lasting_spec(3, 8000)) == caller_result::accepted));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_worker_that_turned_slow_holds_no_step_up)
@@ -323,7 +326,7 @@
     // One worker takes twenty times as long for what it runs and answers as ever: the step would end after 20 s. Its
     // run is stopped, and starts again elsewhere once its end is listed. A step that allows copies gets one instead.
     for (const bool copies : {false, true}) {
-        flow_world w({.workers_each = 3, .run_time = [](const flow_task_id&) { return duration(1s); }});
+        flow_simulation w({.workers_per_data_centre = 3, .run_time = [](const flow_task_id&) { return duration(1s); }});
         w.run_for(2s);
         w.worker(1).slowness = 20;
         flow_spec spec = chain_spec(2, 3, 16000);
@@ -334,8 +337,8 @@
         BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
         BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 9s));
         w.run_for(2s);
-        BOOST_TEST(w.running_of(job_a) == 0);
-        check_no_faults(w);
+        BOOST_TEST(w.count_running_tasks(job_a) == 0);
+        check_no_violations(w);
     }
 }
 
@@ -343,28 +346,28 @@
 {
     // Its estimate is a tenth of what it takes on any worker. Taken for the workers' fault each time, it would never
     // end.
-    flow_world w({.workers_each = 3, .run_time = [](const flow_task_id&) { return duration(10s); }});
+    flow_simulation w({.workers_per_data_centre = 3, .run_time = [](const flow_task_id&) { return duration(10s); }});
     w.run_for(2s);
     flow_spec spec = chain_spec(1, 1, 4000);
     spec.steps.front().estimate = 1s;
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 20s));
-    BOOST_TEST(w.starts_of(job_a) <= 3);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) <= 3);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_planned_stop_hands_the_cell_over_at_once)
 {
-    flow_world w({.run_time = [](const flow_task_id&) { return duration(5s); }});
+    flow_simulation w({.run_time = [](const flow_task_id&) { return duration(5s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     const int owner = w.entry(0)->cells().at(cell_id("a"))->owns() ? 0 : 1;
-    w.stop_by_plan(owner);
-    BOOST_TEST(w.run_until([&] { return w.owners_of("a") == 1; }, 2s));
+    w.shut_down_entry(owner);
+    BOOST_TEST(w.run_until([&] { return w.count_owners("a") == 1; }, 2s));
     BOOST_TEST(w.run_until([&] { return is_done(w, 1 - owner, job_a); }, 15s));
-    BOOST_TEST(w.starts_of(job_a) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 6);
+    check_no_violations(w);
 }
 
 // An entry that is stopped while it has rows to tell an owner of leaves them to the owner's look.
@@ -373,7 +376,7 @@
     for (const bool heard : {true, false}) {
         BOOST_TEST_CONTEXT("the owner can be told " << heard)
         {
-            flow_world w({.entries_each = 3});
+            flow_simulation w({.entries_per_data_centre = 3});
             w.run_for(3s);
             const int other = w.entry(0)->cells().begin()->second->owns() ? 1 : 0;
             w.cut_entry_from_peers(other, true);
@@ -384,20 +387,20 @@
             BOOST_TEST(!w.entry(other)->stopped());
             w.cut_entry_from_peers(other, !heard);
             BOOST_TEST(w.run_until([&] { return w.entry(other)->stopped(); }, 1600ms));
-            BOOST_TEST(w.logged("entry", "leaves_untold") == (heard ? 0 : 1));
+            BOOST_TEST(w.count_log_events("entry", "leaves_untold") == (heard ? 0 : 1));
             if (heard) {
-                BOOST_TEST(w.logged("job", "bound") == 1);
+                BOOST_TEST(w.count_log_events("job", "bound") == 1);
             }
             w.kill_entry(other);
-            BOOST_TEST(w.run_until([&] { return w.starts_of(job_a) == 1; }, 3s));
-            check_no_faults(w);
+            BOOST_TEST(w.run_until([&] { return w.count_job_starts(job_a) == 1; }, 3s));
+            check_no_violations(w);
         }
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_draining_worker_gets_no_more_tasks)
 {
-    flow_world w({.workers_each = 2});
+    flow_simulation w({.workers_per_data_centre = 2});
     w.run_for(2s);
     w.worker(0).draining = true;
     w.run_for(2s);
@@ -405,7 +408,7 @@
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(2, 6)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 20s));
     BOOST_TEST(w.worker(0).starts == before);
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(an_owner_that_was_held_up_hears_its_workers_before_it_gives_them_up)
@@ -413,25 +416,25 @@
     // The owner is held up for longer than a lease. The answers that tell of the tasks' ends wait for it, and a worker
     // has left meanwhile. The owner's timers and the answer to its renewal come first: all workers seem silent for too
     // long. Given up at once, their tasks would start again, though the workers have told that they are done.
-    flow_world w({.entries_each = 1,
-                  .workers_each = 3,
-                  .run_time = [](const flow_task_id&) { return duration(1s); },
-                  .told_counts = true,
-                  .holds_wait = true});
+    flow_simulation w({.entries_per_data_centre = 1,
+                       .workers_per_data_centre = 3,
+                       .run_time = [](const flow_task_id&) { return duration(1s); },
+                       .told_counts = true,
+                       .holds_wait = true});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 2, 16000)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 2; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 2; }, 5s));
     w.run_for(980ms);
-    w.freeze_entry(0);
+    w.pause_entry(0);
     w.run_for(1s);
     w.crash_worker(0, false);
     w.run_for(7s);
     w.let_timers(0);
     w.run_for(50ms);
-    w.thaw_entry(0, true);
+    w.resume_entry(0, true);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 10s));
-    BOOST_TEST(w.starts_of(job_a) == 2);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 2);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(an_end_of_a_job_that_the_owner_does_not_know_yet_is_not_forgotten)
@@ -439,14 +442,14 @@
     // A job was accepted while the cell changed hands: the owner before heard of it and ran its tasks, the new one had
     // read the jobs already. The new owner is listed ends of a job that it does not know. Confirmed at once, the
     // workers forget them, and the tasks start again when the owner comes across the job's row up to two seconds later.
-    flow_world w({.entries_each = 1, .workers_each = 2});
+    flow_simulation w({.entries_per_data_centre = 1, .workers_per_data_centre = 2});
     w.run_for(2500ms);
-    w.accept_unheard(job_a, cell_id("a"), chain_spec(1, 2));
-    w.end_unheard(0, {job_id(job_a), 0, 0, 0}, run_number(1));
-    w.end_unheard(1, {job_id(job_a), 0, 0, 1}, run_number(1));
+    w.insert_unannounced_job(job_a, cell_id("a"), chain_spec(1, 2));
+    w.end_unannounced_run(0, {job_id(job_a), 0, 0, 0}, run_number(1));
+    w.end_unannounced_run(1, {job_id(job_a), 0, 0, 1}, run_number(1));
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 10s));
-    BOOST_TEST(w.starts_of(job_a) == 0);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 0);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(an_owner_that_has_been_followed_leaves_the_ends_that_it_heard)
@@ -454,12 +457,13 @@
     // An owner that the table turns away hears that a task is done, and the worker leaves. The next owner cannot ask
     // that worker, and waits, since it cannot reach another one either. The owner before learns that it has been
     // followed. Unless it tells what it heard, the task is started again when the wait is over.
-    flow_world w(
-        {.workers_each = 3, .run_time = [](const flow_task_id&) { return duration(1s); }, .told_counts = true});
+    flow_simulation w({.workers_per_data_centre = 3,
+                       .run_time = [](const flow_task_id&) { return duration(1s); },
+                       .told_counts = true});
     w.run_for(2s);
     const int owner = w.entry(0)->cells().at(cell_id("a"))->owns() ? 0 : 1;
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 1; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 1; }, 5s));
     w.run_for(500ms);
     w.cut_entry_from_table(owner, true);
     w.cut_entry_from_peers(owner, true);
@@ -474,8 +478,8 @@
     w.cut_entry_from_table(owner, false);
     w.cut_entry_from_peers(owner, false);
     BOOST_TEST(w.run_until([&] { return is_done(w, 1 - owner, job_a); }, 20s));
-    BOOST_TEST(w.starts_of(job_a) == 1);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 1);
+    check_no_violations(w);
 }
 
 namespace {
@@ -484,15 +488,16 @@
 
 // Entries killed and started, cut off from the table and from each other, answers lost, workers crashed and cut off, in
 // an order drawn from the seed. Afterwards every accepted job ends, and no promise was broken on the way.
-void play_random_faults(std::uint64_t seed, std::int64_t worker_cpu)
+void play_random_faults(std::uint64_t seed, std::int64_t worker_cpu_millis)
 {
-    flow_world w({.seed = seed,
-                  .data_centres = {"a", "b", "c"},
-                  .entries_each = 2,
-                  .workers_each = 2,
-                  .worker_cpu = worker_cpu,
-                  .run_fails = [](const flow_task_id& t, run_number run) { return t.index == 1 && run.value() == 1; },
-                  .run_time = [](const flow_task_id& t) { return duration(200ms * (1 + t.index % 4)); }});
+    flow_simulation w(
+        {.seed = seed,
+         .data_centres = {"a", "b", "c"},
+         .entries_per_data_centre = 2,
+         .workers_per_data_centre = 2,
+         .worker_cpu_millis = worker_cpu_millis,
+         .run_fails = [](const flow_task_id& t, run_number run) { return t.index == 1 && run.value() == 1; },
+         .run_time = [](const flow_task_id& t) { return duration(200ms * (1 + t.index % 4)); }});
     random_source random = make_random(seed * 77);
     w.run_for(2s);
     std::vector<std::string> accepted;
@@ -515,7 +520,7 @@
             w.cut_entry_from_peers(victim, true);
             break;
         case 3:
-            w.lose_next_answers(2);
+            w.drop_next_table_answers(2);
             break;
         case 4:
             w.crash_worker(absl::Uniform(random, 0, w.worker_count()), true);
@@ -560,33 +565,34 @@
             BOOST_TEST(w.run_until([&] { return is_done(w, 0, job); }, 40s));
         }
     }
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // Owners that get their processor in turns seconds apart, beside workers that leave and are replaced all the while,
 // workers that turn slow, stops that take their time, work that ends and work that lasts. Nobody is killed or cut off:
 // what an answer has told an owner counts as known. Afterwards the work that ends has ended.
-void play_slow_owners(std::uint64_t seed, int entries_each)
+void play_slow_owners(std::uint64_t seed, int entries_per_data_centre)
 {
     constexpr duration slowest_job =
         3 * 12 * 300ms * 8; // each of its steps waits for the longest task on a slow worker
-    const int slow_entries = 2 * entries_each;
-    flow_world w({.seed = seed,
-                  .data_centres = {"a", "b"},
-                  .entries_each = entries_each,
-                  .workers_each = 8,
-                  .worker_cpu = 8000,
-                  .run_fails = [](const flow_task_id& t, run_number run) { return t.index == 1 && run.value() == 1; },
-                  .run_time = [](const flow_task_id& t) { return duration(300ms * (1 + t.index % 12)); },
-                  .stop_time = 300ms,
-                  .told_counts = entries_each == 1,
-                  .heard_counts = entries_each > 1,
-                  .holds_wait = true});
+    const int slow_entries = 2 * entries_per_data_centre;
+    flow_simulation w(
+        {.seed = seed,
+         .data_centres = {"a", "b"},
+         .entries_per_data_centre = entries_per_data_centre,
+         .workers_per_data_centre = 8,
+         .worker_cpu_millis = 8000,
+         .run_fails = [](const flow_task_id& t, run_number run) { return t.index == 1 && run.value() == 1; },
+         .run_time = [](const flow_task_id& t) { return duration(300ms * (1 + t.index % 12)); },
+         .stop_time = 300ms,
+         .told_counts = entries_per_data_centre == 1,
+         .heard_counts = entries_per_data_centre > 1,
+         .holds_wait = true});
     random_source random = make_random(seed * 31);
     w.run_for(2s);
     for (int i = 0; i < slow_entries; ++i) {
         if (absl::Uniform(random, 0, 3) != 0) {
-            w.make_slow(i, std::chrono::milliseconds(absl::Uniform(random, 200, 8000)));
+            w.inject_entry_pauses(i, std::chrono::milliseconds(absl::Uniform(random, 200, 8000)));
         }
     }
     std::vector<std::string> accepted;
@@ -611,7 +617,7 @@
         w.run_for(std::chrono::milliseconds(absl::Uniform(random, 100, 1500)));
     }
     for (int i = 0; i < slow_entries; ++i) {
-        w.make_slow(i, duration(0));
+        w.inject_entry_pauses(i, duration(0));
     }
     w.run_for(20s);
     for (const std::string& job : accepted) {
@@ -623,7 +629,7 @@
             }
         }
     }
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 constexpr std::uint64_t random_seeds = 500;
@@ -637,7 +643,7 @@
     for (int phase = 0; phase < 10; ++phase) {
         BOOST_TEST_CONTEXT("phase " << phase)
         {
-            flow_world w({.run_time = [](const flow_task_id&) { return duration(200ms); }});
+            flow_simulation w({.run_time = [](const flow_task_id&) { return duration(200ms); }});
             w.run_for(3s + 330ms * phase);
             const int owner = w.entry(0)->cells().begin()->second->owns() ? 0 : 1;
             w.kill_entry(owner);
@@ -652,7 +658,7 @@
             w.run_for(3s);
             BOOST_TEST(w.worker(1).starts == before);
             BOOST_TEST(is_done(w, 1 - owner, "0000000000000007"));
-            check_no_faults(w);
+            check_no_violations(w);
         }
     }
 }
@@ -682,9 +688,9 @@
 {
     // A gang's members end one after another and it is to run again. While some of the earlier run are left, none of
     // the new one is placed, and nothing may be held for it: room that a ledger holds for nobody is lost to everyone.
-    flow_world w(
-        {.workers_each = 2,
-         .worker_cpu = 18000, // two tasks, and a little for short work
+    flow_simulation w(
+        {.workers_per_data_centre = 2,
+         .worker_cpu_millis = 18000, // two tasks, and a little for short work
          .run_fails = [](const flow_task_id& t, run_number run) { return t.job.str() == job_a && run.value() < 3; },
          .run_time = [](const flow_task_id& t) { return duration(300ms * (1 + t.index)); }});
     w.run_for(watched_long);
@@ -693,8 +699,8 @@
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
     w.run_for(8s);
     BOOST_REQUIRE(w.submit(0, job_b, lasting_spec(4, 8000)) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_b) == 4; }, 5s));
-    check_no_faults(w);
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_b) == 4; }, 5s));
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_goes_to_another_cell_whole_or_not_at_all)
@@ -703,16 +709,16 @@
     // worker could not be reached. By then the other member has waited long enough to be given away, and the late one
     // has not: the first one, given away by itself, would wait elsewhere in vain, and the late one would stay where it
     // has no room, for ever.
-    flow_world w({.data_centres = {"a", "b"},
-                  .workers_each = 2,
-                  .worker_cpu = 18000,
-                  .run_fails = [](const flow_task_id&, run_number run) { return run.value() < 2; },
-                  .gangs_wait = true});
+    flow_simulation w({.data_centres = {"a", "b"},
+                       .workers_per_data_centre = 2,
+                       .worker_cpu_millis = 18000,
+                       .run_fails = [](const flow_task_id&, run_number run) { return run.value() < 2; },
+                       .gang_start_barrier = true});
     w.run_for(2s);
     flow_spec gang = chain_spec(1, 2, 10000);
     gang.steps.front().gang = true;
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 2; }, 2s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 2; }, 2s));
     int last = -1;
     for (int i = 0; i < w.worker_count(); ++i) {
         if (!w.worker(i).running.empty()) {
@@ -724,29 +730,29 @@
     w.run_for(2s);
     w.worker(last).reachable = true;
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 8s));
-    BOOST_TEST(w.starts_of(job_a) == 4);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 4);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_wider_than_every_cell_runs_over_several)
 {
     // Only one member may run on a worker, and no data centre has as many workers as the gang has members; together
     // they have. Placed by one cell's owner alone the gang would never start, with nearly everything free.
-    flow_world w({.data_centres = {"a", "b", "c"}, .workers_each = 2, .gangs_wait = true});
+    flow_simulation w({.data_centres = {"a", "b", "c"}, .workers_per_data_centre = 2, .gang_start_barrier = true});
     w.run_for(2s);
     flow_spec gang = chain_spec(1, 5, 1000);
     gang.steps.front().gang = true;
     gang.steps.front().per_worker_most = 1;
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 15s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_that_another_cell_cannot_complete_waits_for_nobody)
 {
     // Cell B seems to have room for two members, and has it for one, so it gives both back. By then cell A has started
     // its own: left alone they would wait three seconds for the others in vain, again and again.
-    flow_world w({.data_centres = {"a", "b"}, .workers_each = 2, .gangs_wait = true});
+    flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 2, .gang_start_barrier = true});
     w.worker(3).room.memory_mib = 500; // less than a member needs
     w.run_for(2s);
     flow_spec gang = chain_spec(1, 4, 1000);
@@ -754,28 +760,28 @@
     gang.steps.front().per_worker_most = 1;
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
     w.run_for(12s);
-    BOOST_TEST(w.starts_of(job_a) > 2);
+    BOOST_TEST(w.count_job_starts(job_a) > 2);
     w.worker(3).room.memory_mib = 64000;
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 8s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_over_several_cells_fails_together_and_runs_again)
 {
     // One member fails, the others break off in three cells, whose owners hear of it at different moments. Started
     // again by each owner for itself, the members would have different numbers, and wait for each other in vain.
-    flow_world w({.data_centres = {"a", "b", "c"},
-                  .workers_each = 2,
-                  .run_fails = [](const flow_task_id& t, run_number) { return t.index == 3; },
-                  .gangs_wait = true});
+    flow_simulation w({.data_centres = {"a", "b", "c"},
+                       .workers_per_data_centre = 2,
+                       .run_fails = [](const flow_task_id& t, run_number) { return t.index == 3; },
+                       .gang_start_barrier = true});
     w.run_for(2s);
     flow_spec gang = chain_spec(1, 5, 1000);
     gang.steps.front().gang = true;
     gang.steps.front().per_worker_most = 1;
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::failed; }, 30s));
-    BOOST_TEST(w.starts_of(job_a) == 15);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 15);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_over_several_cells_outlives_their_owners_and_workers)
@@ -786,12 +792,12 @@
     for (int round = 0; round < 24; ++round) {
         BOOST_TEST_CONTEXT("round " << round)
         {
-            flow_world w({.seed = static_cast<std::uint64_t>(round) + 1,
-                          .data_centres = {"a", "b", "c"},
-                          .workers_each = 2,
-                          .run_time = [](const flow_task_id&) { return duration(800ms); },
-                          .gangs_wait = true,
-                          .gangs_end_alone = true});
+            flow_simulation w({.seed = static_cast<std::uint64_t>(round) + 1,
+                               .data_centres = {"a", "b", "c"},
+                               .workers_per_data_centre = 2,
+                               .run_time = [](const flow_task_id&) { return duration(800ms); },
+                               .gang_start_barrier = true,
+                               .gang_timeouts_allowed = true});
             w.run_for(2s);
             flow_spec gang = chain_spec(1, 5, 1000);
             gang.steps.front().gang = true;
@@ -805,7 +811,7 @@
                 w.crash_worker(round / 2 % 6, true);
             }
             BOOST_TEST(w.run_until([&] { return is_done(w, round / 2 % 6 == 0 ? 1 : 0, job_a); }, 40s));
-            check_no_faults(w);
+            check_no_violations(w);
         }
     }
 }
@@ -815,31 +821,31 @@
     // A task needs a label that one worker of each cell has. In cells A and B that worker is full, and the others have
     // more left than all of C, where the worker with the label has come up and is idle. Sent where most is left, the
     // task would go to and fro between A and B for ever.
-    flow_world w({.data_centres = {"a", "b", "c"}});
+    flow_simulation w({.data_centres = {"a", "b", "c"}});
     for (const int worker : {0, 3, 6}) {
         w.worker(worker).labels = {"rack-1", "x"};
     }
     for (const int worker : {6, 7, 8}) {
-        w.drop_worker_listing(worker, true);
+        w.set_worker_unlisted(worker, true);
     }
     w.run_for(2s);
     flow_spec service = lasting_spec(2, 14000);
     service.steps.front().label = "x";
     BOOST_REQUIRE(w.submit(0, job_b, service) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_b) == 2; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_b) == 2; }, 5s));
     flow_spec labelled = chain_spec(1, 1, 8000);
     labelled.steps.front().label = "x";
     BOOST_REQUIRE(w.submit(0, job_a, labelled) == caller_result::accepted);
-    w.drop_worker_listing(6, false);
+    w.set_worker_unlisted(6, false);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 8s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_with_a_label_runs_over_the_workers_that_have_it)
 {
     // One worker of each data centre has the label, and only one member may run on a worker. Taken for room, the other
     // workers would draw the gang from cell to cell, or leave a cell with more members than it can start.
-    flow_world w({.data_centres = {"a", "b", "c"}, .gangs_wait = true});
+    flow_simulation w({.data_centres = {"a", "b", "c"}, .gang_start_barrier = true});
     for (const int worker : {0, 3, 6}) {
         w.worker(worker).labels = {"rack-1", "x"};
     }
@@ -850,7 +856,7 @@
     gang.steps.front().label = "x";
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 6s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(an_owner_that_was_followed_gives_no_task_away)
@@ -861,18 +867,18 @@
     for (int healed_after = 0; healed_after < 12; ++healed_after) {
         BOOST_TEST_CONTEXT("round " << healed_after)
         {
-            flow_world w({.seed = static_cast<std::uint64_t>(healed_after) + 1,
-                          .data_centres = {"a", "b", "c"},
-                          .workers_each = 1,
-                          .worker_cpu = 1150, // one task, and a little for short work
-                          .run_time = [](const flow_task_id&) { return duration(60s); }});
+            flow_simulation w({.seed = static_cast<std::uint64_t>(healed_after) + 1,
+                               .data_centres = {"a", "b", "c"},
+                               .workers_per_data_centre = 1,
+                               .worker_cpu_millis = 1150, // one task, and a little for short work
+                               .run_time = [](const flow_task_id&) { return duration(60s); }});
             w.run_for(watched_long);
             const std::vector<std::string> fillers{"00000000000000f1", "00000000000000f2", "00000000000000f3"};
             for (const std::string& filler : fillers) {
                 BOOST_REQUIRE(w.submit(0, filler, lasting_spec(1, 1000)) == caller_result::accepted);
                 w.run_for(1500ms);
             }
-            BOOST_REQUIRE(w.running_count() == 3);
+            BOOST_REQUIRE(w.count_all_running_tasks() == 3);
             BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1, 1000)) == caller_result::accepted);
             w.run_for(500ms);
             int owner = -1;
@@ -904,15 +910,15 @@
             }
             BOOST_REQUIRE(elsewhere.size() == 2);
             w.cancel(other, elsewhere.at(0));
-            BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 1; }, 8s));
+            BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 1; }, 8s));
             w.cancel(other, elsewhere.at(1));
             w.run_for(500ms);
             w.cut_entry_from_peers(owner, false);
             w.run_for(1s + 40ms * healed_after);
             w.cut_entry_from_table(owner, false);
             w.run_for(5s);
-            BOOST_TEST(w.starts_of(job_a) == 1);
-            check_no_faults(w);
+            BOOST_TEST(w.count_job_starts(job_a) == 1);
+            check_no_violations(w);
         }
     }
 }
@@ -921,7 +927,7 @@
 {
     // A lasting task waits in a full cell while the owner of the other has just taken over and its workers do not
     // answer: it tells of a pool without one worker. Looking for room there must find none, and the waiting goes on.
-    flow_world w({.data_centres = {"a", "b"}, .workers_each = 1, .worker_cpu = 4600});
+    flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 1, .worker_cpu_millis = 4600});
     w.run_for(watched_long);
     // At the same moment, so that neither entry knows of the other's job: one of them waits.
     w.send_submit(0, job_a, lasting_spec(2, 4000));
@@ -942,18 +948,18 @@
         w.worker(round % 2).reachable = true;
         w.run_for(3s);
     }
-    BOOST_TEST(w.running_count() == 2);
-    check_no_faults(w);
+    BOOST_TEST(w.count_all_running_tasks() == 2);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(what_lasts_moves_off_a_worker_that_drains_before_it_leaves)
 {
     // A worker says that it leaves, serves on for two seconds and is gone with all that ran there. Its tasks that last
     // were away until the lease of their runs had ended, six seconds later; now they run elsewhere when it goes.
-    flow_world w({.workers_each = 4});
+    flow_simulation w({.workers_per_data_centre = 4});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 4000)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     int leaving = 0;
     while (w.worker(leaving).running.empty()) {
         ++leaving;
@@ -962,10 +968,10 @@
     w.run_for(2s);
     BOOST_TEST(w.worker(leaving).running.empty());
     w.crash_worker(leaving, false);
-    BOOST_TEST(w.running_of(job_a) == 6);
+    BOOST_TEST(w.count_running_tasks(job_a) == 6);
     w.run_for(10s);
-    BOOST_TEST(w.running_of(job_a) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 6);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_worker_that_left_while_the_owner_stood_still_holds_up_no_other_workers_tasks)
@@ -976,16 +982,16 @@
     // 10 s, and a lease, before it started anything again: one that left held up the tasks of all the others.
     constexpr duration stood_still = 5s;
     constexpr duration missed_most = 12s; // since the owner stood still; tasks may be missed for 3 s once all is calm
-    flow_world w({.entries_each = 3, .workers_each = 6});
+    flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(10, 4000)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 10; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 10; }, 5s));
     w.run_for(2s);
     int owner = 0;
     while (!w.entry(owner)->cells().at(cell_id("a"))->owns()) {
         ++owner;
     }
-    w.freeze_entry(owner);
+    w.pause_entry(owner);
     w.run_for(1s);
     int leaving = 0;
     while (w.worker(leaving).running.empty()) {
@@ -1000,10 +1006,10 @@
     }
     w.fail_run(failing);
     w.run_for(stood_still - 1s);
-    w.thaw_entry(owner);
+    w.resume_entry(owner);
     w.run_for(missed_most - stood_still);
-    BOOST_TEST(w.running_of(job_a) == 10);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 10);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(slow_owners_start_nothing_twice)
@@ -1025,10 +1031,10 @@
 {
     // Tasks that last stand still for 17 s after all entries were killed: their cell has no owner. Each owner reads all
     // jobs first; it asked for all parts at once, so that none arrived in the time it is waited for, and asked anew.
-    flow_world w({.workers_each = 4, .jobs_page_time = 300ms});
+    flow_simulation w({.workers_per_data_centre = 4, .job_page_transfer_time = 300ms});
     w.run_for(5s);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 4000)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     w.kill_entry(0);
     w.kill_entry(1);
     w.run_for(1s);
@@ -1037,10 +1043,10 @@
     w.run_for(1s);
     BOOST_TEST(w.run_until(
         [&] {
-            return w.owners_of("a") == 1 &&
+            return w.count_owners("a") == 1 &&
                    w.entry(0)->cells().at(cell_id("a"))->current_role() != flow_cell::role::reading &&
                    w.entry(1)->cells().at(cell_id("a"))->current_role() != flow_cell::role::reading;
         },
         6s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
--- a/tests/test_flow_cancel.cpp
+++ b/tests/test_flow_cancel.cpp
@@ -4,7 +4,7 @@
 
 #include "base_random_p.h"
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -14,7 +14,7 @@
 
 const std::string job_a = "00000000000000aa";
 
-int owner_of(flow_world& w)
+int owner_of(flow_simulation& w)
 {
     return w.entry(0)->cells().at(cell_id("a"))->owns() ? 0 : 1;
 }
@@ -27,7 +27,7 @@
     for (int delay_ms = 500; delay_ms <= 8000; delay_ms += 500) {
         BOOST_TEST_CONTEXT("carried out after " << delay_ms << " ms")
         {
-            flow_world w({.run_time = [](const flow_task_id&) { return duration(60s); }});
+            flow_simulation w({.run_time = [](const flow_task_id&) { return duration(60s); }});
             w.run_for(2s);
             w.delay_next_starts(100, std::chrono::milliseconds(delay_ms));
             BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 12)) == caller_result::accepted);
@@ -35,8 +35,8 @@
             w.delay_next_starts(0, duration(0));
             BOOST_TEST((w.cancel(1, job_a) == caller_result::cancelled));
             w.run_for(15s);
-            BOOST_TEST(w.running_of(job_a) == 0);
-            check_no_faults(w);
+            BOOST_TEST(w.count_running_tasks(job_a) == 0);
+            check_no_violations(w);
         }
     }
 }
@@ -49,7 +49,7 @@
     for (int delay_ms = 500; delay_ms <= 8000; delay_ms += 500) {
         BOOST_TEST_CONTEXT("carried out after " << delay_ms << " ms")
         {
-            flow_world w({.run_time = [](const flow_task_id&) { return duration(60s); }});
+            flow_simulation w({.run_time = [](const flow_task_id&) { return duration(60s); }});
             w.run_for(2s);
             w.delay_next_starts(100, std::chrono::milliseconds(delay_ms));
             BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(20)) == caller_result::accepted);
@@ -59,8 +59,8 @@
             w.kill_entry(owner);
             w.delay_next_starts(0, duration(0));
             w.run_for(20s);
-            BOOST_TEST(w.running_of(job_a) == 0);
-            check_no_faults(w);
+            BOOST_TEST(w.count_running_tasks(job_a) == 0);
+            check_no_violations(w);
         }
     }
 }
@@ -69,11 +69,12 @@
 {
     // A follower hears of twenty runs of a job that has ended, on one worker. Stopped one for each exchange they would
     // go on for seconds.
-    flow_world w(
-        {.workers_each = 1, .worker_cpu = 64000, .run_time = [](const flow_task_id&) { return duration(60s); }});
+    flow_simulation w({.workers_per_data_centre = 1, .worker_cpu_millis = 64000, .run_time = [](const flow_task_id&) {
+                           return duration(60s);
+                       }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 20)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 20; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 20; }, 5s));
     w.worker(0).reachable = false; // its owner hears nothing, and neither does its follower at first
     const int owner = owner_of(w);
     BOOST_TEST((w.cancel(1 - owner, job_a) == caller_result::cancelled));
@@ -83,7 +84,7 @@
     w.run_for(14s);                           // until the follower has written that the job has ended
     BOOST_REQUIRE(w.state(1 - owner, job_a) == flow_state::cancelled);
     w.worker(0).reachable = true;
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 0; }, 1200ms));
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 0; }, 1200ms));
 }
 
 BOOST_AUTO_TEST_CASE(stray_runs_are_stopped_on_a_worker_that_fell_out_of_the_list)
@@ -91,10 +92,10 @@
     // A follower has asked a worker what runs there, and stops what belongs to a job that has ended; the stops get no
     // answer. Meanwhile the worker's entry lapses, though it is alive. With nothing of its own there the follower would
     // look at it no more, and the tasks would run on.
-    flow_world w({.workers_each = 1, .run_time = [](const flow_task_id&) { return duration(60s); }});
+    flow_simulation w({.workers_per_data_centre = 1, .run_time = [](const flow_task_id&) { return duration(60s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 6; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 5s));
     w.worker(0).reachable = false;
     const int owner = owner_of(w);
     BOOST_TEST((w.cancel(1 - owner, job_a) == caller_result::cancelled));
@@ -102,13 +103,13 @@
     w.kill_entry(owner);
     w.worker(0).lease_until = instant::max();
     w.run_for(14s);
-    w.lose_stops(true);
+    w.drop_stop_orders(true);
     w.worker(0).reachable = true;
     w.run_for(1500ms);
-    w.drop_worker_listing(0, true);
+    w.set_worker_unlisted(0, true);
     w.run_for(4s);
-    w.lose_stops(false);
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 0; }, 1500ms));
+    w.drop_stop_orders(false);
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 0; }, 1500ms));
 }
 
 BOOST_AUTO_TEST_CASE(cancelled_jobs_leave_nothing_running_under_late_orders_and_removed_instances)
@@ -118,9 +119,11 @@
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            flow_world w({.seed = seed, .entries_each = 3, .workers_each = 4, .run_time = [](const flow_task_id& t) {
-                              return duration(1s * (1 + 4 * (t.index % 4)));
-                          }});
+            flow_simulation w(
+                {.seed = seed,
+                 .entries_per_data_centre = 3,
+                 .workers_per_data_centre = 4,
+                 .run_time = [](const flow_task_id& t) { return duration(1s * (1 + 4 * (t.index % 4))); }});
             random_source random = make_random(seed * 31);
             w.run_for(2s);
             w.delay_orders(0.2);
@@ -153,7 +156,7 @@
             for (const std::string& job : kept) {
                 BOOST_TEST(w.run_until([&] { return w.state(0, job) == flow_state::done; }, 80s));
             }
-            check_no_faults(w);
+            check_no_violations(w);
         }
     }
 }
@@ -168,19 +171,19 @@
     for (int phase_ms = 0; phase_ms < 200; phase_ms += 10) {
         BOOST_TEST_CONTEXT("exchanges are in phase " << phase_ms << " ms")
         {
-            flow_world w({.entries_each = 1,
-                          .workers_each = 1,
-                          .worker_cpu = 1000,
-                          .run_time = [](const flow_task_id&) { return duration(5s); },
-                          .stop_time = 200ms,
-                          .hold_answer_delay = 100ms});
+            flow_simulation w({.entries_per_data_centre = 1,
+                               .workers_per_data_centre = 1,
+                               .worker_cpu_millis = 1000,
+                               .run_time = [](const flow_task_id&) { return duration(5s); },
+                               .stop_time = 200ms,
+                               .hold_answer_delay = 100ms});
             w.run_for(3s + std::chrono::milliseconds(phase_ms));
             BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1)) == caller_result::accepted);
             w.send_submit(0, job_b, chain_spec(1, 1));
             BOOST_TEST((w.cancel(0, job_a) == caller_result::cancelled));
-            BOOST_TEST(w.run_until([&] { return w.running_of(job_b) == 1; }, 5s));
-            BOOST_TEST(w.running_of(job_a) == 0);
-            check_no_faults(w);
+            BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_b) == 1; }, 5s));
+            BOOST_TEST(w.count_running_tasks(job_a) == 0);
+            check_no_violations(w);
         }
     }
 }
--- a/tests/test_flow_config.cpp
+++ b/tests/test_flow_config.cpp
@@ -4,7 +4,7 @@
 #include <fmt/format.h>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -22,12 +22,12 @@
 constexpr double link_share_over = 20;        // seconds
 constexpr std::int64_t entries_count = 39;
 
-flow_world::options narrow_site(double link = narrow_link)
+flow_simulation::options narrow_site(double link = narrow_link)
 {
-    flow_world::options o;
+    flow_simulation::options o;
     o.data_centres = {"a", "b", "c"};
-    o.entries_each = 13;
-    o.workers_each = 8;
+    o.entries_per_data_centre = 13;
+    o.workers_per_data_centre = 8;
     o.link_bytes_per_s = link;
     return o;
 }
@@ -40,7 +40,7 @@
 }
 
 // The entries that do not have `version` though they should; only what is up, and since `in_force_most`, counts.
-std::int64_t count_behind(flow_world& w, std::int64_t version, const std::map<int, instant>& started)
+std::int64_t count_behind(flow_simulation& w, std::int64_t version, const std::map<int, instant>& started)
 {
     std::int64_t behind = 0;
     for (int i = 0; i < entries_count; ++i) {
@@ -54,7 +54,7 @@
 }
 
 // Ready with an older version than `version`.
-std::int64_t count_ready_behind(flow_world& w, std::int64_t version)
+std::int64_t count_ready_behind(flow_simulation& w, std::int64_t version)
 {
     std::int64_t ready = 0;
     for (int i = 0; i < entries_count; ++i) {
@@ -66,14 +66,14 @@
     return ready;
 }
 
-void check_all_ready(flow_world& w)
+void check_all_ready(flow_simulation& w)
 {
     for (int i = 0; i < entries_count; ++i) {
         BOOST_TEST(w.entry(i)->ready());
     }
 }
 
-std::vector<double> link_bytes(const flow_world& w)
+std::vector<double> link_bytes(const flow_simulation& w)
 {
     std::vector<double> bytes;
     bytes.reserve(entries_count);
@@ -83,7 +83,7 @@
     return bytes;
 }
 
-void check_link_share(const flow_world& w, const std::vector<double>& before, double link)
+void check_link_share(const flow_simulation& w, const std::vector<double>& before, double link)
 {
     for (int i = 0; i < entries_count; ++i) {
         const double got = w.bytes_to(i) - before.at(static_cast<std::size_t>(i));
@@ -98,7 +98,7 @@
 };
 
 // Goes on for `total`, in steps, while entries are killed in turn and start again. `check` runs each step.
-void run_restarts(flow_world& w, const restart_plan& plan, duration total, std::map<int, instant>& started,
+void run_restarts(flow_simulation& w, const restart_plan& plan, duration total, std::map<int, instant>& started,
                   const std::function<void()>& check)
 {
     const instant begun = w.now();
@@ -138,7 +138,7 @@
 // Copies of a large change to entries that restart leave the link of each entry that is behind no room for any.
 BOOST_AUTO_TEST_CASE(a_large_change_is_in_force_while_half_of_the_entries_restart)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.write_config(queues_with({"added"}), large_config);
     const instant written = w.now();
@@ -158,7 +158,7 @@
 // Entries that restart while their peers have a newer version are ready with the older one that some of them still had.
 BOOST_AUTO_TEST_CASE(an_entry_that_starts_is_not_ready_with_an_older_version_than_its_peers_have)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     for (int i = 0; i < 8; ++i) {
         w.cut_entry_from_table(i, true); // they hear of the change from peers alone
@@ -181,7 +181,7 @@
 BOOST_AUTO_TEST_CASE(an_entry_that_misses_a_large_change_has_it_in_time)
 {
     for (const int missing : {1, 8}) {
-        flow_world w(narrow_site());
+        flow_simulation w(narrow_site());
         w.run_for(10s);
         for (int i = 0; i < missing; ++i) {
             w.cut_entry_from_table(i, true);
@@ -203,7 +203,7 @@
 // The second and third change come before the first has arrived everywhere.
 BOOST_AUTO_TEST_CASE(the_last_of_several_large_changes_in_a_row_is_in_force_in_time)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.cut_entry_from_table(3, true);
     for (int i = 0; i < 4; ++i) {
@@ -217,7 +217,7 @@
 // A table that stays away is no source at all: entries that start have the configuration from peers.
 BOOST_AUTO_TEST_CASE(entries_that_start_while_the_table_is_away_have_the_newest_version_from_peers)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.write_config(queues_with({"added"}), large_config);
     w.run_for(2s);
@@ -236,7 +236,7 @@
 // An entry that the table turns away gets the change from a peer, over a link that bears little more than one copy.
 BOOST_AUTO_TEST_CASE(a_large_change_comes_over_a_very_narrow_link)
 {
-    flow_world w(narrow_site(very_narrow_link));
+    flow_simulation w(narrow_site(very_narrow_link));
     w.run_for(10s);
     w.cut_entry_from_table(7, true);
     w.run_for(2s);
@@ -248,7 +248,7 @@
 // A caller of a new queue is told that there is none, though the entry has heard that its configuration is old.
 BOOST_AUTO_TEST_CASE(a_queue_that_is_unknown_here_is_not_refused_while_a_newer_version_is_known_of)
 {
-    flow_world w(narrow_site(very_narrow_link));
+    flow_simulation w(narrow_site(very_narrow_link));
     w.run_for(10s);
     w.cut_entry_from_table(7, true);
     w.run_for(2s);
@@ -262,7 +262,7 @@
 // An entry that stays behind takes jobs of a queue that a confirmed change has dropped.
 BOOST_AUTO_TEST_CASE(an_entry_that_is_behind_for_long_takes_no_jobs_by_the_old_version)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.cut_entry_from_table(7, true);
     w.run_for(2s);
@@ -272,13 +272,13 @@
     BOOST_REQUIRE(w.entry(7)->config_version() == settings_version(1));
     BOOST_TEST((w.submit(7, job_a, chain_spec(1, 1)) != caller_result::accepted));
     w.run_for(5s);
-    BOOST_TEST(w.starts_of(job_a) == 0);
+    BOOST_TEST(w.count_job_starts(job_a) == 0);
 }
 
 // A version that cannot be read is asked for again and again, or takes the place of the one that can.
 BOOST_AUTO_TEST_CASE(a_version_that_cannot_be_read_leaves_the_one_before_in_force)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.write_config(queues_with({"added"}), large_config);
     w.run_for(3s);
@@ -297,7 +297,7 @@
 // All entries are lost in the moment in which a change is confirmed.
 BOOST_AUTO_TEST_CASE(a_change_outlives_the_loss_of_all_entries)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.write_config(queues_with({"added"}), large_config);
     for (int i = 0; i < entries_count; ++i) {
@@ -315,7 +315,7 @@
 // An entry that reaches one peer alone, and not the table, stays without the change.
 BOOST_AUTO_TEST_CASE(an_entry_cut_off_from_most_peers_has_the_change_from_the_one_it_reaches)
 {
-    flow_world w(narrow_site());
+    flow_simulation w(narrow_site());
     w.run_for(10s);
     w.cut_entry_from_table(7, true);
     for (int i = 0; i < entries_count; ++i) {
@@ -332,11 +332,11 @@
 // What peers tell each other each half second takes the place of everything else on a narrow link.
 BOOST_AUTO_TEST_CASE(what_peers_tell_each_other_leaves_a_narrow_link_free)
 {
-    flow_world::options o = narrow_site();
-    o.workers_each = 160;
+    flow_simulation::options o = narrow_site();
+    o.workers_per_data_centre = 160;
     o.rack_size = 8;
     o.cores = {0.5, 0.5, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12};
-    flow_world w(std::move(o));
+    flow_simulation w(std::move(o));
     w.run_for(15s);
     const auto before = link_bytes(w);
     w.run_for(std::chrono::seconds(static_cast<std::int64_t>(link_share_over)));
--- a/tests/test_flow_crash.cpp
+++ b/tests/test_flow_crash.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -44,34 +44,34 @@
     };
 }
 
-bool has_failed(flow_world& w, int entry, const std::string& job)
+bool has_failed(flow_simulation& w, int entry, const std::string& job)
 {
     return w.state(entry, job) == flow_state::failed;
 }
 
 // One task that crashes its workers, in a step as `change` makes it; bystanders run beside it.
-void play_culprit(flow_world::options options, const std::function<void(flow_step&)>& change)
+void play_culprit(flow_simulation::options options, const std::function<void(flow_step&)>& change)
 {
-    flow_world w(std::move(options));
+    flow_simulation w(std::move(options));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_b, lasting_spec(4, 2000)) == caller_result::accepted);
     flow_spec spec = chain_spec(1, 4, 2000);
     change(spec.steps.front());
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
-    BOOST_TEST(w.crashes_under(culprit) >= crashes_least);
+    BOOST_TEST(w.crash_count_of(culprit) >= crashes_least);
     w.run_for(20s);
-    BOOST_TEST(w.running_of(job_a) == 0);
-    BOOST_TEST(w.running_of(job_b) == 4);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 0);
+    BOOST_TEST(w.count_running_tasks(job_b) == 4);
+    check_no_violations(w);
 }
 
-flow_world::options culprit_options(duration age)
+flow_simulation::options culprit_options(duration age)
 {
-    flow_world::options options;
-    options.workers_each = 8;
+    flow_simulation::options options;
+    options.workers_per_data_centre = 8;
     options.run_time = [](const flow_task_id&) { return duration(1s); };
-    options.crashes_worker = crashes_after(culprit, age);
+    options.worker_crash_delay = crashes_after(culprit, age);
     return options;
 }
 
@@ -80,23 +80,23 @@
 // A task that crashes each worker it starts on is started for ever.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up)
 {
-    flow_world w(culprit_options(10ms));
+    flow_simulation w(culprit_options(10ms));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_b, chain_spec(20, 4)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 24)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
     BOOST_TEST(has_failed(w, 1, job_a));
-    BOOST_TEST(w.crashes_under(culprit) >= crashes_least);
+    BOOST_TEST(w.crash_count_of(culprit) >= crashes_least);
     BOOST_TEST(w.run_until([&] { return w.state(0, job_b) == flow_state::done; }, given_up_within));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // The crashes under a task are forgotten when its cell changes owners.
 BOOST_AUTO_TEST_CASE(crashes_under_a_task_outlast_the_owner_of_its_cell)
 {
-    flow_world::options options = culprit_options(10ms);
-    options.entries_each = 3;
-    flow_world w(std::move(options));
+    flow_simulation::options options = culprit_options(10ms);
+    options.entries_per_data_centre = 3;
+    flow_simulation w(std::move(options));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 24)) == caller_result::accepted);
     for (int round = 0; round < 8 && !has_failed(w, (round + 1) % 3, job_a); ++round) {
@@ -111,7 +111,7 @@
         w.run_for(8s);
     }
     BOOST_TEST(has_failed(w, 0, job_a));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // A run that ends with its worker is charged to nobody, in one kind of step or another.
@@ -129,9 +129,9 @@
     for (const auto& [name, change] : kinds) {
         BOOST_TEST_CONTEXT(name)
         {
-            flow_world::options options = culprit_options(10ms);
-            options.gangs_wait = true;
-            options.gangs_end_alone = true;
+            flow_simulation::options options = culprit_options(10ms);
+            options.gang_start_barrier = true;
+            options.gang_timeouts_allowed = true;
             play_culprit(std::move(options), change);
         }
     }
@@ -146,8 +146,8 @@
 // The worker is away for longer than a lease, so that its runs are taken for lapsed.
 BOOST_AUTO_TEST_CASE(a_crash_counts_when_the_worker_comes_back_after_its_leases)
 {
-    flow_world::options options = culprit_options(10ms);
-    options.crash_away = 9s;
+    flow_simulation::options options = culprit_options(10ms);
+    options.crash_restart_delay = 9s;
     play_culprit(std::move(options), [](flow_step&) {});
 }
 
@@ -160,24 +160,24 @@
 // Every task of a step crashes its worker, all in the same moment.
 BOOST_AUTO_TEST_CASE(a_job_all_of_whose_tasks_crash_their_workers_is_given_up)
 {
-    flow_world::options options = culprit_options(10ms);
-    options.crashes_worker = [](const flow_task_id& task, const start_run&) {
+    flow_simulation::options options = culprit_options(10ms);
+    options.worker_crash_delay = [](const flow_task_id& task, const start_run&) {
         return task.job.str() == job_a ? std::optional<duration>(10ms) : std::nullopt;
     };
-    flow_world w(std::move(options));
+    flow_simulation w(std::move(options));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 24)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // An occurrence of a timed job crashes its workers; its count is its own.
 BOOST_AUTO_TEST_CASE(an_occurrence_that_crashes_its_workers_is_given_up)
 {
     const flow_task_id second{job_id(job_a), 1, 0, 0};
-    flow_world::options options = culprit_options(10ms);
-    options.crashes_worker = crashes_after(second, 10ms);
-    flow_world w(std::move(options));
+    flow_simulation::options options = culprit_options(10ms);
+    options.worker_crash_delay = crashes_after(second, 10ms);
+    flow_simulation w(std::move(options));
     w.run_for(2s);
     flow_spec spec = chain_spec(1, 3);
     spec.occurrences = 3;
@@ -185,18 +185,18 @@
     spec.interval = 2s;
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
-    BOOST_TEST(w.crashes_under(second) >= crashes_least);
-    check_no_faults(w);
+    BOOST_TEST(w.crash_count_of(second) >= crashes_least);
+    check_no_violations(w);
 }
 
 // A task crashes its worker whenever it starts from its checkpoint; from the beginning it does well.
 BOOST_AUTO_TEST_CASE(a_checkpoint_that_crashes_its_workers_is_left_aside)
 {
-    flow_world::options options = culprit_options(10ms);
-    options.crashes_worker = [](const flow_task_id& task, const start_run& start) {
+    flow_simulation::options options = culprit_options(10ms);
+    options.worker_crash_delay = [](const flow_task_id& task, const start_run& start) {
         return task == culprit && !start.checkpoint.empty() ? std::optional<duration>(10ms) : std::nullopt;
     };
-    flow_world w(std::move(options));
+    flow_simulation w(std::move(options));
     w.run_for(2s);
     flow_spec spec = chain_spec(1, 1);
     spec.steps.front().checkpointing = true;
@@ -205,15 +205,15 @@
     stage.done = std::string(1, '\0');
     stage.checkpoints[0] = "saved";
     row.stages.push_back(stage);
-    w.accept_unheard(job_a, cell_id("a"), spec);
+    w.insert_unannounced_job(job_a, cell_id("a"), spec);
     row.queue = "q";
     row.service_name = "service";
     row.cell = "a";
     row.cell_epoch = 1;
-    w.put_row(accepted_row(cell_id("a"), job_id(job_a)), row);
+    w.put_job_row(accepted_row(cell_id("a"), job_id(job_a)), row);
     BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, given_up_within));
-    BOOST_TEST(w.crashes_under(culprit) >= crashes_least);
-    check_no_faults(w);
+    BOOST_TEST(w.crash_count_of(culprit) >= crashes_least);
+    check_no_violations(w);
 }
 
 // Workers crash one after another by themselves, and innocent tasks are given up for it.
@@ -221,10 +221,10 @@
 {
     each_seed(6, [](std::uint64_t seed) {
         random_source random = make_random(seed);
-        flow_world w({.seed = seed,
-                      .workers_each = 8,
-                      .run_time = [](const flow_task_id&) { return duration(2s); },
-                      .crash_refuses = seed % 2 == 0});
+        flow_simulation w({.seed = seed,
+                           .workers_per_data_centre = 8,
+                           .run_time = [](const flow_task_id&) { return duration(2s); },
+                           .crash_refuses_connections = seed % 2 == 0});
         w.run_for(2s);
         BOOST_REQUIRE(w.submit(0, job_b, lasting_spec(12, 2000)) == caller_result::accepted);
         BOOST_REQUIRE(w.submit(0, job_a, chain_spec(30, 8)) == caller_result::accepted);
@@ -234,7 +234,7 @@
         }
         BOOST_TEST(!has_failed(w, 0, job_a));
         BOOST_TEST(!has_failed(w, 0, job_b));
-        check_no_faults(w);
+        check_no_violations(w);
     });
 }
 
@@ -243,10 +243,10 @@
 {
     each_seed(4, [](std::uint64_t seed) {
         random_source random = make_random(seed);
-        flow_world w({.seed = seed,
-                      .workers_each = 21,
-                      .run_time = [](const flow_task_id&) { return duration(2s); },
-                      .crash_refuses = seed % 2 == 0});
+        flow_simulation w({.seed = seed,
+                           .workers_per_data_centre = 21,
+                           .run_time = [](const flow_task_id&) { return duration(2s); },
+                           .crash_refuses_connections = seed % 2 == 0});
         w.run_for(2s);
         BOOST_REQUIRE(w.submit(0, job_b, lasting_spec(30, 2000)) == caller_result::accepted);
         BOOST_REQUIRE(w.submit(0, job_a, chain_spec(40, 20)) == caller_result::accepted);
@@ -258,7 +258,7 @@
         }
         BOOST_TEST(!has_failed(w, 0, job_a));
         BOOST_TEST(!has_failed(w, 0, job_b));
-        check_no_faults(w);
+        check_no_violations(w);
     });
 }
 
@@ -266,13 +266,13 @@
 BOOST_AUTO_TEST_CASE(no_task_is_given_up_for_what_ran_beside_it)
 {
     const std::vector<std::string> culprits{"00000000000000c1", "00000000000000c2", "00000000000000c3"};
-    flow_world::options options = culprit_options(10ms);
-    options.workers_each = 3;
-    options.crashes_worker = [](const flow_task_id& task, const start_run&) {
+    flow_simulation::options options = culprit_options(10ms);
+    options.workers_per_data_centre = 3;
+    options.worker_crash_delay = [](const flow_task_id& task, const start_run&) {
         const bool guilty = task.job.str().substr(14, 1) == "c" && task.index == 1;
         return guilty ? std::optional<duration>(10ms) : std::nullopt;
     };
-    flow_world w(std::move(options));
+    flow_simulation w(std::move(options));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_b, lasting_spec(6, 2000)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(10, 6, 500)) == caller_result::accepted);
@@ -283,8 +283,8 @@
         BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job); }, given_up_within));
     }
     BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, given_up_within));
-    BOOST_TEST(w.running_of(job_b) == 6);
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_b) == 6);
+    check_no_violations(w);
 }
 
 // Tasks of several jobs crash workers within moments of each other: taken for workers that go at once by a cause of
@@ -294,15 +294,15 @@
     constexpr int jobs = 12;
     constexpr int crashing_each = 2; // of a job's tasks
     each_seed(8, [](std::uint64_t seed) {
-        flow_world::options options;
+        flow_simulation::options options;
         options.seed = seed;
-        options.workers_each = 24;
-        options.crash_away = 3s;
+        options.workers_per_data_centre = 24;
+        options.crash_restart_delay = 3s;
         options.run_time = [](const flow_task_id&) { return duration(1s); };
-        options.crashes_worker = [](const flow_task_id& task, const start_run&) {
+        options.worker_crash_delay = [](const flow_task_id& task, const start_run&) {
             return task.index < crashing_each ? std::optional<duration>(10ms) : std::nullopt;
         };
-        flow_world w(std::move(options));
+        flow_simulation w(std::move(options));
         w.run_for(2s);
         std::vector<std::string> names;
         for (int i = 0; i < jobs; ++i) {
@@ -316,6 +316,6 @@
                                    [&](const std::string& job) { return has_failed(w, 0, job); });
             },
             given_up_within));
-        check_no_faults(w);
+        check_no_violations(w);
     });
 }
--- a/tests/test_flow_knows_nothing.cpp
+++ b/tests/test_flow_knows_nothing.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -121,15 +121,15 @@
         std::string reason;
     };
 
-    static flow_world::options make_options(const site_case& c)
+    static flow_simulation::options make_options(const site_case& c)
     {
-        flow_world::options o;
+        flow_simulation::options o;
         o.seed = c.seed;
         o.data_centres = {"a", "b"};
-        o.entries_each = entries_count / 2;
-        o.workers_each = 12;
+        o.entries_per_data_centre = entries_count / 2;
+        o.workers_per_data_centre = 12;
         o.rack_size = 6;
-        o.jobs_page_time = c.page_time;
+        o.job_page_transfer_time = c.page_time;
         o.link_bytes_per_s = c.link_bytes_per_s;
         if (c.far) {
             o.table_latency = 150ms;
@@ -293,12 +293,13 @@
         }
         const bool of_accepted =
             q.what == question::submit_again || q.what == question::state_accepted || q.what == question::cancel;
-        const bool wrong = *q.answer == caller_result::unknown_queue || *q.answer == caller_result::invalid ||
-                           (of_accepted && *q.answer == caller_result::unknown_job) ||
-                           ((q.what == question::state_never || q.what == question::state_new_queue) &&
-                            *q.answer != caller_result::unknown_job) ||
-                           (*q.answer == caller_result::rejected && world_.starts_of(q.job) > 0) ||
-                           (!of_accepted && *q.answer == caller_result::accepted && world_.starts_of(q.job) == 0);
+        const bool wrong =
+            *q.answer == caller_result::unknown_queue || *q.answer == caller_result::invalid ||
+            (of_accepted && *q.answer == caller_result::unknown_job) ||
+            ((q.what == question::state_never || q.what == question::state_new_queue) &&
+             *q.answer != caller_result::unknown_job) ||
+            (*q.answer == caller_result::rejected && world_.count_job_starts(q.job) > 0) ||
+            (!of_accepted && *q.answer == caller_result::accepted && world_.count_job_starts(q.job) == 0);
         return wrong ? fmt::format("{}: {} ({}) at entry {}, up for {} ms, {}", question_names.at(q.what),
                                    result_names.at(*q.answer), q.reason, q.entry, q.age / 1ms,
                                    q.ready ? "ready" : "not ready")
@@ -329,12 +330,12 @@
         for (const auto& [kind, what] : untrue) {
             BOOST_ERROR(fmt::format("seed {}: {} times untrue, first {}", case_.seed, what.first, what.second));
         }
-        check_no_faults(world_);
+        check_no_violations(world_);
     }
 
     site_case case_;
     std::vector<std::unique_ptr<asked_question>> asked_; // outlives the entries, whose replies write here
-    flow_world world_;
+    flow_simulation world_;
     instant begun_{};
     int changes_ = 0;
     std::string newest_queue_ = "q"; // that only the newest configuration has
@@ -356,10 +357,10 @@
     }
 }
 
-flow_world::options narrow_site(int entries)
+flow_simulation::options narrow_site(int entries)
 {
-    flow_world::options o;
-    o.entries_each = entries;
+    flow_simulation::options o;
+    o.entries_per_data_centre = entries;
     o.link_bytes_per_s = very_narrow_link;
     return o;
 }
@@ -429,7 +430,7 @@
 // Hearing of no newer version is taken for having the newest, though neither the table nor a peer is heard.
 BOOST_AUTO_TEST_CASE(an_entry_that_hears_nobody_does_not_refuse_a_queue_for_good)
 {
-    flow_world w({.entries_each = 4});
+    flow_simulation w({.entries_per_data_centre = 4});
     w.run_for(8s);
     w.cut_entry_from_table(0, true);
     w.cut_entry_from_peers(0, true);
@@ -438,13 +439,13 @@
     BOOST_REQUIRE((w.submit(1, job_a, chain_spec(1, 1), "added") == caller_result::accepted));
     BOOST_TEST((w.submit(0, job_b, chain_spec(1, 1), "added") != caller_result::unknown_queue));
     BOOST_TEST_MESSAGE(fmt::format("  ready: {}", w.entry(0)->ready()));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // What an entry has heard of a newer version is forgotten with the peers that told of it.
 BOOST_AUTO_TEST_CASE(a_version_known_to_entries_that_stop_is_not_forgotten)
 {
-    flow_world w(narrow_site(4));
+    flow_simulation w(narrow_site(4));
     w.run_for(8s);
     w.cut_entry_from_table(0, true);
     w.run_for(2s);
@@ -457,13 +458,13 @@
     BOOST_REQUIRE((w.entry(0)->config_version() == settings_version(1)));
     BOOST_TEST((w.submit(0, job_a, chain_spec(1, 1), "added") != caller_result::unknown_queue));
     BOOST_TEST_MESSAGE(fmt::format("  ready: {}", w.entry(0)->ready()));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // An entry that starts takes the version of a peer for the newest, though that one has not heard the table either.
 BOOST_AUTO_TEST_CASE(an_entry_that_starts_beside_one_that_is_behind_does_not_refuse_a_queue_for_good)
 {
-    flow_world w({.entries_each = 4});
+    flow_simulation w({.entries_per_data_centre = 4});
     w.run_for(8s);
     for (int entry = 0; entry < 4; ++entry) {
         w.cut_entry_from_table(entry, entry < 2);
@@ -486,13 +487,13 @@
     }
     BOOST_TEST(refused == 0);
     BOOST_TEST_MESSAGE(fmt::format("  ready with the older version in {} of 80 looks", ready));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // A path of a new queue is taken for an ill-formed one of an older queue whose prefix it begins with.
 BOOST_AUTO_TEST_CASE(a_queue_within_another_is_not_refused_for_good_while_a_newer_version_is_known_of)
 {
-    flow_world w(narrow_site(4));
+    flow_simulation w(narrow_site(4));
     w.run_for(8s);
     w.cut_entry_from_table(0, true);
     w.run_for(2s);
@@ -500,13 +501,13 @@
     BOOST_REQUIRE(w.run_until([&] { return w.entry(0)->newest_config_version(w.now()) == settings_version(2); }, 5s));
     BOOST_REQUIRE((w.entry(0)->config_version() == settings_version(1)));
     BOOST_TEST((w.submit(0, job_a, chain_spec(1, 1), "q/inner") != caller_result::invalid));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // An entry that is told that a job is there already, and no more, says that it waits.
 BOOST_AUTO_TEST_CASE(a_job_that_is_handed_in_again_keeps_its_state)
 {
-    flow_world w({.entries_each = 4});
+    flow_simulation w({.entries_per_data_centre = 4});
     w.run_for(8s);
     BOOST_REQUIRE((w.submit(1, job_a, chain_spec(1, 1)) == caller_result::accepted));
     BOOST_REQUIRE(w.run_until([&] { return w.state(1, job_a) == flow_state::done; }, 10s));
@@ -517,27 +518,27 @@
     w.run_for(6s);
     BOOST_REQUIRE((w.submit(0, job_a, chain_spec(1, 1)) == caller_result::accepted));
     BOOST_TEST((w.state(0, job_a) == flow_state::done));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // An entry that stops refuses a job that runs, without a look whether it is there.
 BOOST_AUTO_TEST_CASE(an_entry_that_stops_does_not_refuse_a_job_that_runs)
 {
-    flow_world w({.entries_each = 4});
+    flow_simulation w({.entries_per_data_centre = 4});
     w.run_for(8s);
     w.entry(0)->plan_stop(w.now());
     w.entry(0)->run_deferred_work(w.now());
     BOOST_REQUIRE((w.submit(1, job_a, chain_spec(1, 1)) == caller_result::accepted));
     BOOST_TEST((w.submit(0, job_a, chain_spec(1, 1)) != caller_result::rejected));
     w.run_for(3s);
-    BOOST_TEST(w.starts_of(job_a) == 1);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 1);
+    check_no_violations(w);
 }
 
 // An entry that hears its peers now and then begins anew each time to count for how long it has been behind.
 BOOST_AUTO_TEST_CASE(an_entry_that_hears_peers_now_and_then_takes_no_jobs_by_the_old_version)
 {
-    flow_world w(narrow_site(4));
+    flow_simulation w(narrow_site(4));
     w.run_for(8s);
     w.cut_entry_from_table(0, true);
     w.run_for(2s);
@@ -558,7 +559,7 @@
         return !answers.empty() && answers.front() == caller_result::accepted;
     });
     BOOST_TEST(accepted == 0);
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 namespace {
@@ -602,16 +603,16 @@
                                        come_back_, refused_, ready_behind_));
         BOOST_TEST(refused_ == 0, refused_ << " of " << asked_ << " refused by " << by_.size() << " entries, first "
                                            << first_ << ", last at " << last_ / 1ms << " ms");
-        check_no_faults(world_);
+        check_no_violations(world_);
     }
 
 private:
-    static flow_world::options make_options(const storm_case& c)
+    static flow_simulation::options make_options(const storm_case& c)
     {
-        flow_world::options o;
+        flow_simulation::options o;
         o.data_centres = {"a", "b", "c"};
-        o.entries_each = 13;
-        o.workers_each = 8;
+        o.entries_per_data_centre = 13;
+        o.workers_per_data_centre = 8;
         o.link_bytes_per_s = c.link_bytes_per_s;
         return o;
     }
@@ -681,7 +682,7 @@
     std::string first_;
     duration last_{0};
     std::map<int, int> by_; // entry, how often it refused
-    flow_world world_;
+    flow_simulation world_;
     instant begun_{};
     int changes_ = 0;
     int restarted_ = 0;
--- a/tests/test_flow_layout.cpp
+++ b/tests/test_flow_layout.cpp
@@ -5,7 +5,7 @@
 #include "flow_layout_p.h"
 #include "flow_limits_p.h"
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -44,11 +44,11 @@
 }
 
 // Eight entries as unequal as those of a large site, and workers for five cells.
-flow_world::options large_site()
+flow_simulation::options large_site()
 {
-    flow_world::options o;
-    o.entries_each = 8;
-    o.workers_each = 102;
+    flow_simulation::options o;
+    o.entries_per_data_centre = 8;
+    o.workers_per_data_centre = 102;
     o.rack_size = 6;
     o.cores = {0.07, 0.07, 0.5, 0.07, 0.07, 0.5, 0.07, 0.07};
     return o;
@@ -132,7 +132,7 @@
 {
     // All entries list the workers and write the layout at the same time; one write is in force, and the others take it
     // over. Of five cells each of the two large entries, with 0.5 core, takes two or three and no small one takes two.
-    flow_world w(large_site());
+    flow_simulation w(large_site());
     w.run_for(5s);
     const auto names = cell_names(*w.entry(0));
     BOOST_TEST(names.size() == 5);
@@ -155,14 +155,14 @@
     // its link. It had listed the workers, and laid the racks, seconds before the others knew of a cell, and went for
     // all that had no owner as soon as its turn to follow came.
     for (const int early : {0, 1, 3, 4, 6, 7}) {
-        flow_world::options o = large_site();
-        for (int i = 0; i < o.entries_each; ++i) {
-            o.list_latencies[i] = i == early ? 100ms : 4500ms;
+        flow_simulation::options o = large_site();
+        for (int i = 0; i < o.entries_per_data_centre; ++i) {
+            o.list_latency_by_entry[i] = i == early ? 100ms : 4500ms;
         }
-        flow_world w(o);
+        flow_simulation w(o);
         w.run_for(6s);
         int owned = 0;
-        for (int i = 0; i < o.entries_each; ++i) {
+        for (int i = 0; i < o.entries_per_data_centre; ++i) {
             const int own = cells_owned(*w.entry(i));
             BOOST_TEST(own <= (i == 2 || i == 5 ? 3 : 1), "early " << early << ": entry " << i << " owns " << own);
             owned += own;
@@ -175,23 +175,23 @@
 {
     // An owner with a narrow link reaches neither its workers nor the table: for each of its cells it reads every two
     // seconds the rows of all jobs of the site that changed.
-    flow_world::options o = large_site();
-    o.entries_each = 1;
+    flow_simulation::options o = large_site();
+    o.entries_per_data_centre = 1;
     o.cores = {0.5};
-    flow_world w(o);
+    flow_simulation w(o);
     w.run_for(4s);
     BOOST_REQUIRE(cells_owned(*w.entry(0)) == 5);
-    const std::int64_t before = w.looks_at_jobs(0);
+    const std::int64_t before = w.job_watch_count(0);
     w.run_for(10s);
-    BOOST_TEST(w.looks_at_jobs(0) - before <= 5);
-    BOOST_TEST(w.looks_at_jobs(0) - before >= 4);
+    BOOST_TEST(w.job_watch_count(0) - before <= 5);
+    BOOST_TEST(w.job_watch_count(0) - before >= 4);
 }
 
 BOOST_AUTO_TEST_CASE(equal_entries_own_no_more_than_one_cell_each)
 {
-    flow_world::options o = large_site();
+    flow_simulation::options o = large_site();
     o.cores.clear();
-    flow_world w(o);
+    flow_simulation w(o);
     w.run_for(5s);
     for (int i = 0; i < 8; ++i) {
         BOOST_TEST(cells_owned(*w.entry(i)) <= 1);
@@ -200,9 +200,10 @@
 
 BOOST_AUTO_TEST_CASE(a_new_rack_gets_a_cell_that_all_entries_know)
 {
-    flow_world w({.entries_each = 3, .workers_each = 30, .rack_size = 6, .run_time = [](const flow_task_id&) {
-                      return duration(8s);
-                  }});
+    flow_simulation w({.entries_per_data_centre = 3,
+                       .workers_per_data_centre = 30,
+                       .rack_size = 6,
+                       .run_time = [](const flow_task_id&) { return duration(8s); }});
     w.run_for(3s);
     BOOST_TEST(cell_names(*w.entry(0)).size() == 1);
     const int added = w.add_worker("a", "rack-new");
@@ -211,25 +212,25 @@
         BOOST_TEST((w.entry(i)->racks() == w.entry(0)->racks()));
     }
     BOOST_TEST(cell_names(*w.entry(0)).size() == 2);
-    BOOST_TEST(w.owners_of("a.1") == 1);
+    BOOST_TEST(w.count_owners("a.1") == 1);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 31, 16000)) == caller_result::accepted); // one a worker
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 31; }, 4s));
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 31; }, 4s));
     BOOST_TEST(w.worker(added).starts == 1);
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(the_cells_outlast_a_loss_of_power_of_all_entries)
 {
     // When the entries come back the list shows one worker. Laid anew from it, the racks would be in other cells, and
     // workers would be fenced by two owners.
-    flow_world w(large_site());
+    flow_simulation w(large_site());
     w.run_for(3s);
     const std::map<rack_id, cell_id> before = w.entry(0)->racks();
     for (int i = 0; i < 8; ++i) {
         w.kill_entry(i);
     }
     for (int i = 1; i < w.worker_count(); ++i) {
-        w.drop_worker_listing(i, true);
+        w.set_worker_unlisted(i, true);
     }
     for (int i = 0; i < 8; ++i) {
         w.start_entry(i);
@@ -240,7 +241,7 @@
     }
     int owned = 0;
     for (const std::string& cell : cell_names(*w.entry(0))) {
-        owned += w.owners_of(cell);
+        owned += w.count_owners(cell);
     }
     BOOST_TEST(owned == 5);
 }
@@ -249,33 +250,33 @@
 {
     // Forty lasting tasks, one a worker, and cells of 24: those that find no worker in the job's cell are given to
     // others, within three seconds.
-    flow_world w(large_site());
+    flow_simulation w(large_site());
     w.run_for(4s);
     flow_spec spec = chain_spec(1, 40, 1000);
     spec.steps.front().lasting = true;
     spec.steps.front().per_worker_most = 1;
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 40; }, 3s));
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 40; }, 3s));
     for (int i = 0; i < w.worker_count(); ++i) {
         BOOST_TEST(w.worker(i).running.size() <= 1);
     }
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(a_job_across_cells_runs_once_when_the_owner_of_one_dies)
 {
     // The tasks of one step run in two cells when the owner of one of them dies. Its follower adopts what runs there.
-    flow_world::options o = large_site();
+    flow_simulation::options o = large_site();
     o.run_time = [](const flow_task_id&) { return duration(12s); };
-    flow_world w(o);
+    flow_simulation w(o);
     w.run_for(4s);
     flow_spec spec = chain_spec(2, 40, 1000);
     spec.steps.front().per_worker_most = 1;
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 40; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 40; }, 5s));
     const int owner = cells_owned(*w.entry(2)) > 0 ? 2 : 5;
     w.kill_entry(owner);
     BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, 60s));
-    BOOST_TEST(w.starts_of(job_a) == 80);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 80);
+    check_no_violations(w);
 }
--- a/tests/test_flow_pending_begun.cpp
+++ b/tests/test_flow_pending_begun.cpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -19,7 +19,7 @@
 constexpr duration asked_for = 10s;
 constexpr int jobs_sent = 4;
 
-int owner_of(flow_world& w, const std::string& cell, int entries)
+int owner_of(flow_simulation& w, const std::string& cell, int entries)
 {
     for (int entry = 0; entry < entries; ++entry) {
         if (w.entry(entry) != nullptr && w.entry(entry)->cells().at(cell_id(cell))->owns()) {
@@ -42,7 +42,7 @@
     instant accepted{};
 };
 
-waiting_jobs submit_jobs(flow_world& w, int entry, const flow_spec& spec, int count = jobs_sent)
+waiting_jobs submit_jobs(flow_simulation& w, int entry, const flow_spec& spec, int count = jobs_sent)
 {
     waiting_jobs jobs;
     for (int i = 0; i < count; ++i) {
@@ -54,7 +54,7 @@
 }
 
 // Every entry that is up tells of all of them once they have waited so long; most of the questions are answered.
-void check_counted(flow_world& w, const waiting_jobs& jobs, int entries)
+void check_counted(flow_simulation& w, const waiting_jobs& jobs, int entries)
 {
     if (w.now() <= jobs.accepted + counted_after) {
         w.run_for(jobs.accepted + counted_after - w.now() + step);
@@ -77,12 +77,12 @@
         w.run_for(step);
     }
     for (const std::string& job : jobs.names) {
-        BOOST_REQUIRE(w.starts_of(job) == 0); // on any worker
+        BOOST_REQUIRE(w.count_job_starts(job) == 0); // on any worker
     }
     BOOST_TEST(asked > 50);
     BOOST_TEST(refused * 20 <= asked, refused << " of " << asked << " refused");
     BOOST_TEST(short_of == 0, short_of << " of " << asked << " answers short, least " << least);
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 } // namespace
@@ -90,7 +90,7 @@
 // A start that was noted and lost passes for begun with the owner that follows.
 BOOST_AUTO_TEST_CASE(lasting_jobs_whose_starts_were_lost_are_counted_by_the_next_owner)
 {
-    flow_world w({.workers_each = 1});
+    flow_simulation w({.workers_per_data_centre = 1});
     w.run_for(3s);
     w.worker(0).reachable = false;
     const int owner = owner_of(w, "a", 2);
@@ -103,7 +103,7 @@
 // A start that was noted and refused passes for begun with the owner that follows.
 BOOST_AUTO_TEST_CASE(lasting_jobs_whose_starts_were_refused_are_counted_by_the_next_owner)
 {
-    flow_world w({});
+    flow_simulation w({});
     w.run_for(3s);
     w.refuse_starts(true);
     const int owner = owner_of(w, "a", 2);
@@ -116,7 +116,7 @@
 // The same with an owner that lives.
 BOOST_AUTO_TEST_CASE(lasting_jobs_whose_starts_are_refused_are_counted)
 {
-    flow_world w({});
+    flow_simulation w({});
     w.run_for(3s);
     w.refuse_starts(true);
     check_counted(w, submit_jobs(w, 0, lasting_spec(1, 1000)), 2);
@@ -125,7 +125,7 @@
 // A start of short work that was refused passes for begun with the owner that follows.
 BOOST_AUTO_TEST_CASE(jobs_whose_starts_were_refused_are_counted_by_the_next_owner)
 {
-    flow_world w({});
+    flow_simulation w({});
     w.run_for(3s);
     w.refuse_starts(true);
     const int owner = owner_of(w, "a", 2);
@@ -137,7 +137,7 @@
 
 namespace {
 
-bool holds_job(flow_world& w, const std::string& cell, const std::string& job)
+bool holds_job(flow_simulation& w, const std::string& cell, const std::string& job)
 {
     const int owner = owner_of(w, cell, 4);
     return owner >= 0 && w.entry(owner)->cells().at(cell_id(cell))->find_job(job_id(job)) != nullptr;
@@ -146,18 +146,18 @@
 // The job's cell loses its room; the other one has some, and its workers refuse.
 void give_to_refusing_cell(const flow_spec& spec)
 {
-    flow_world w({.data_centres = {"a", "b"}});
+    flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(3s);
     w.refuse_starts(true);
     const waiting_jobs jobs = submit_jobs(w, owner_of(w, "a", 4), spec);
     const std::string bound_to = holds_job(w, "a", jobs.names.front()) ? "a" : "b";
     for (int worker = 0; worker < w.worker_count(); ++worker) {
         if (w.worker(worker).data_centre.str() == bound_to) {
-            w.set_room(worker, {1000, 64000, 0}, 0ms);
+            w.set_worker_capacity(worker, {1000, 64000, 0}, 0ms);
         }
     }
     w.run_for(4s);
-    BOOST_REQUIRE(w.logged("task", "given_away") > 0);
+    BOOST_REQUIRE(w.count_log_events("task", "given_away") > 0);
     check_counted(w, jobs, 4);
 }
 
@@ -181,14 +181,14 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            flow_world w({.seed = seed});
+            flow_simulation w({.seed = seed});
             w.run_for(3s);
             w.refuse_starts(true);
             const int owner = owner_of(w, "a", 2);
             const waiting_jobs jobs = submit_jobs(w, owner, gang_spec(6, 6000));
-            w.make_slow(owner, 100ms);
+            w.inject_entry_pauses(owner, 100ms);
             w.run_for(4s);
-            w.make_slow(owner, 0ms);
+            w.inject_entry_pauses(owner, 0ms);
             check_counted(w, jobs, 2);
         }
     }
@@ -197,13 +197,13 @@
 // A gang that is spread over cells and goes back passes for begun.
 BOOST_AUTO_TEST_CASE(gangs_given_back_are_counted)
 {
-    flow_world w({.data_centres = {"a", "b"}, .gangs_wait = true});
+    flow_simulation w({.data_centres = {"a", "b"}, .gang_start_barrier = true});
     w.run_for(3s);
     w.refuse_starts(true);
     const waiting_jobs jobs = submit_jobs(w, owner_of(w, "a", 4), gang_spec(5, 12000));
     check_counted(w, jobs, 4);
-    BOOST_TEST(w.logged("gang", "given_away") > 0);
-    BOOST_TEST(w.logged("gang", "given_back") > 0);
+    BOOST_TEST(w.count_log_events("gang", "given_away") > 0);
+    BOOST_TEST(w.count_log_events("gang", "given_back") > 0);
 }
 
 // Orders that come seconds late, after their leases or stops, pass for begun.
@@ -212,7 +212,7 @@
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            flow_world w({.seed = seed});
+            flow_simulation w({.seed = seed});
             w.run_for(3s);
             w.refuse_starts(true);
             w.delay_orders(0.5);
@@ -224,39 +224,39 @@
 // A task that another cell has begun passes for waiting, as nobody tells the owner of the job's.
 BOOST_AUTO_TEST_CASE(lasting_jobs_begun_in_another_cell_are_not_counted)
 {
-    flow_world w({.data_centres = {"a", "b"}});
+    flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(3s);
     w.refuse_starts(true);
     const waiting_jobs jobs = submit_jobs(w, owner_of(w, "a", 4), lasting_spec(1, 8000));
     const std::string bound_to = holds_job(w, "a", jobs.names.front()) ? "a" : "b";
     for (int worker = 0; worker < w.worker_count(); ++worker) {
         if (w.worker(worker).data_centre.str() == bound_to) {
-            w.set_room(worker, {1000, 64000, 0}, 0ms);
+            w.set_worker_capacity(worker, {1000, 64000, 0}, 0ms);
         }
     }
     w.run_for(4s);
     w.refuse_starts(false);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_count() == jobs_sent; }, 5s));
-    BOOST_REQUIRE(w.logged("task", "given_away") > 0);
+    BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == jobs_sent; }, 5s));
+    BOOST_REQUIRE(w.count_log_events("task", "given_away") > 0);
     w.run_for(3s);
     for (int entry = 0; entry < 4; ++entry) {
         BOOST_TEST(w.pending(entry) == 0);
     }
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // What runs passes for waiting with the owner that follows, as the row only tells of its note.
 BOOST_AUTO_TEST_CASE(lasting_jobs_that_run_are_not_counted_by_the_next_owner)
 {
-    flow_world w({});
+    flow_simulation w({});
     w.run_for(3s);
     const int owner = owner_of(w, "a", 2);
     submit_jobs(w, owner, lasting_spec(1, 1000));
-    BOOST_REQUIRE(w.run_until([&] { return w.running_count() == jobs_sent; }, 3s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == jobs_sent; }, 3s));
     w.run_for(1s);
     w.kill_entry(owner);
     w.run_for(5s);
     BOOST_REQUIRE(owner_of(w, "a", 2) == 1 - owner);
     BOOST_TEST(w.pending(1 - owner) == 0);
-    check_no_faults(w);
+    check_no_violations(w);
 }
--- a/tests/test_flow_pending_cut.cpp
+++ b/tests/test_flow_pending_cut.cpp
@@ -5,7 +5,7 @@
 #include <functional>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 #include "support_pending.h"
 
 using namespace skylarkhub;
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr int data_centres = 4;
-constexpr int entries_each = 2;
-constexpr int entries_count = data_centres * entries_each;
+constexpr int entries_per_data_centre = 2;
+constexpr int entries_count = data_centres * entries_per_data_centre;
 constexpr int seeds = 6;
 constexpr duration step = 100ms;
 constexpr duration begun_after = 8s;
@@ -34,20 +34,20 @@
 constexpr duration slow_table = 240ms;
 constexpr duration sound_table = 8ms;
 
-flow_world::options site_options(std::uint64_t seed)
+flow_simulation::options site_options(std::uint64_t seed)
 {
-    flow_world::options o;
+    flow_simulation::options o;
     o.seed = seed;
     o.data_centres = {"a", "b", "c", "d"};
-    o.entries_each = entries_each;
-    o.workers_each = 12;
+    o.entries_per_data_centre = entries_per_data_centre;
+    o.workers_per_data_centre = 12;
     o.rack_size = 6;
     return o;
 }
 
-void kill_first_data_centre(flow_world& world)
+void kill_first_data_centre(flow_simulation& world)
 {
-    for (int entry = 0; entry < entries_each; ++entry) {
+    for (int entry = 0; entry < entries_per_data_centre; ++entry) {
         world.kill_entry(entry);
     }
 }
@@ -70,25 +70,25 @@
     void play()
     {
         world_.run_for(begun_after + 131ms * static_cast<int>(case_.seed));
-        first_ = case_.owner_is_cut ? entries_count - entries_each : 0;
+        first_ = case_.owner_is_cut ? entries_count - entries_per_data_centre : 0;
         owner_ = first_;
-        for (int entry = first_; entry < first_ + entries_each; ++entry) {
+        for (int entry = first_; entry < first_ + entries_per_data_centre; ++entry) {
             const auto& cells = world_.entry(entry)->cells();
             if (std::any_of(cells.begin(), cells.end(), [](const auto& cell) { return cell.second->owns(); })) {
                 owner_ = entry;
             }
         }
         const duration fault_from = cut_from + 400ms * (static_cast<int>(case_.seed) - 3);
-        pending_check check(world_);
+        pending_count_checker check(world_);
         for (duration t{0}; t < played; t += step) {
-            for (int entry = entries_count - entries_each; entry < entries_count; ++entry) {
+            for (int entry = entries_count - entries_per_data_centre; entry < entries_count; ++entry) {
                 world_.cut_entry_from_peers(entry, t >= cut_from && t < cut_until);
             }
             if (t == fault_from) {
                 begin_fault();
             }
             go_on(t - fault_from);
-            check.note_accepted();
+            check.record_accepted();
             submit(check, t, t - fault_from);
             for (int entry = 0; entry < entries_count; ++entry) {
                 if (is_asked(entry, t - fault_from)) {
@@ -97,19 +97,19 @@
             }
             world_.run_for(step);
         }
-        world_.run_for(pending_check::told_most);
+        world_.run_for(pending_count_checker::answer_time_limit);
         BOOST_TEST_MESSAGE(fmt::format("seed {}, owner {}{}, takers {}: accepted {} of {}", case_.seed, owner_,
                                        case_.owner_is_cut ? " (cut)" : "", static_cast<int>(case_.through),
                                        check.accepted(), check.submitted()));
-        check_no_faults(world_);
+        check_no_violations(world_);
         BOOST_TEST(check.accepted() >= 3);
         check.check(1000);
     }
 
 private:
-    static flow_world::options make_options(const cut_case& c)
+    static flow_simulation::options make_options(const cut_case& c)
     {
-        flow_world::options o = site_options(c.seed);
+        flow_simulation::options o = site_options(c.seed);
         o.table_latency = sound_table;
         return o;
     }
@@ -120,13 +120,13 @@
         case fault::none:
             break;
         case fault::frozen:
-            world_.freeze_entry(owner_);
+            world_.pause_entry(owner_);
             break;
         case fault::off_table:
             world_.cut_entry_from_table(owner_, true);
             break;
         case fault::slow:
-            world_.make_slow(owner_, slow_pause);
+            world_.inject_entry_pauses(owner_, slow_pause);
             break;
         case fault::stopped:
             world_.entry(owner_)->plan_stop(world_.now());
@@ -136,7 +136,7 @@
             world_.set_table_latency(slow_table);
             break;
         case fault::history:
-            world_.forget_history();
+            world_.discard_change_history();
             break;
         case fault::killed:
             world_.kill_entry(owner_);
@@ -158,13 +158,13 @@
             return;
         }
         if (case_.beside == fault::frozen) {
-            world_.thaw_entry(owner_);
+            world_.resume_entry(owner_);
         }
         if (case_.beside == fault::off_table) {
             world_.cut_entry_from_table(owner_, false);
         }
         if (case_.beside == fault::slow) {
-            world_.make_slow(owner_, duration(0));
+            world_.inject_entry_pauses(owner_, duration(0));
         }
         world_.set_table_latency(sound_table);
     }
@@ -190,13 +190,13 @@
         return entry != owner_ || !out;
     }
 
-    void submit(pending_check& check, duration t, duration since)
+    void submit(pending_count_checker& check, duration t, duration since)
     {
         const int number = static_cast<int>(t / submit_interval);
         int entry = number % entries_count;
         bool due = t < jobs_until && t % submit_interval == duration(0);
         if (case_.through == takers::data_centre) {
-            entry = first_ + number % entries_each;
+            entry = first_ + number % entries_per_data_centre;
         }
         if (case_.through == takers::owner_before_fault) {
             entry = owner_;
@@ -208,7 +208,7 @@
     }
 
     cut_case case_;
-    flow_world world_;
+    flow_simulation world_;
     int first_ = 0; // entry of the owner's data centre
     int owner_ = 0;
 };
@@ -228,26 +228,26 @@
 // has just taken a job; `page_time` is what a page of rows takes.
 void play_forgotten(std::uint64_t seed, duration page_time, duration read_for)
 {
-    flow_world::options o = site_options(seed);
-    o.jobs_page_time = page_time;
-    flow_world world(o);
+    flow_simulation::options o = site_options(seed);
+    o.job_page_transfer_time = page_time;
+    flow_simulation world(o);
     world.run_for(15s + 131ms * static_cast<int>(seed));
-    world.forget_history();
+    world.discard_change_history();
     world.run_for(read_for);
-    pending_check check(world);
+    pending_count_checker check(world);
     check.submit(0);
     world.run_for(20ms);
-    check.note_accepted();
+    check.record_accepted();
     BOOST_REQUIRE(check.accepted() == 1);
     kill_first_data_centre(world);
     for (duration t{0}; t < 15s; t += step) {
-        for (int entry = entries_each; entry < entries_count; ++entry) {
+        for (int entry = entries_per_data_centre; entry < entries_count; ++entry) {
             check.ask(entry);
         }
         world.run_for(step);
     }
-    world.run_for(pending_check::told_most);
-    check_no_faults(world);
+    world.run_for(pending_count_checker::answer_time_limit);
+    check_no_violations(world);
     check.check(400);
 }
 
@@ -255,33 +255,33 @@
 // owner's data centre is killed, and the entry is cut off from its peers.
 void play_late_hello(std::uint64_t seed)
 {
-    flow_world::options o = site_options(seed);
-    flow_world world(o);
+    flow_simulation::options o = site_options(seed);
+    flow_simulation world(o);
     constexpr int asked = entries_count - 1;
     world.run_for(begun_after + 131ms * static_cast<int>(seed));
-    world.freeze_entry(asked);
+    world.pause_entry(asked);
     world.run_for(600ms); // a round of hellos
     world.cut_entry_from_peers(asked, true);
-    pending_check check(world);
+    pending_count_checker check(world);
     check.submit(0);
     world.run_for(20ms);
-    check.note_accepted();
+    check.record_accepted();
     BOOST_REQUIRE(check.accepted() == 1);
     kill_first_data_centre(world);
     world.run_for(fault_lasts - 600ms - 20ms);
-    world.thaw_entry(asked);
+    world.resume_entry(asked);
     world.run_for(in_touch_after);
     for (duration t{0}; t < 5s; t += step) {
         check.ask(asked);
         world.run_for(step);
     }
-    world.run_for(pending_check::told_most);
-    check_no_faults(world);
+    world.run_for(pending_count_checker::answer_time_limit);
+    check_no_violations(world);
     check.check(40);
 }
 
 // What the entry tells its peers now.
-wire::flow_message told_now(flow_world& world, int entry, const std::string& name)
+wire::flow_message told_now(flow_simulation& world, int entry, const std::string& name)
 {
     wire::flow_message asks;
     wire::flow_hello own; // an entry takes nothing from a hello of its own
@@ -296,26 +296,27 @@
 // repetitions have it. A job is taken outside meanwhile.
 void play_hello_kept_by_cut(std::uint64_t seed, bool asked_meanwhile)
 {
-    flow_world::options o = site_options(seed);
-    flow_world world(o);
+    flow_simulation::options o = site_options(seed);
+    flow_simulation world(o);
     world.run_for(begun_after + 331ms * static_cast<int>(seed));
     const auto cut = [&world](bool on) {
-        for (int entry = entries_count - entries_each; entry < entries_count; ++entry) {
+        for (int entry = entries_count - entries_per_data_centre; entry < entries_count; ++entry) {
             world.cut_entry_from_peers(entry, on);
         }
     };
     cut(true);
     std::vector<wire::flow_message> under_way;
-    for (int entry = 0; entry < entries_count - entries_each; ++entry) {
-        const std::string name = fmt::format(
-            "entry-{}-{}", o.data_centres.at(static_cast<std::size_t>(entry) / entries_each), entry % entries_each);
+    for (int entry = 0; entry < entries_count - entries_per_data_centre; ++entry) {
+        const std::string name =
+            fmt::format("entry-{}-{}", o.data_centres.at(static_cast<std::size_t>(entry) / entries_per_data_centre),
+                        entry % entries_per_data_centre);
         under_way.push_back(told_now(world, entry, name));
     }
-    pending_check check(world);
+    pending_count_checker check(world);
     world.run_for(100ms);
     check.submit(0);
     world.run_for(20ms);
-    check.note_accepted();
+    check.record_accepted();
     BOOST_REQUIRE(check.accepted() == 1);
     constexpr int asked = entries_count - 1;
     for (duration t = 120ms; t < cut_until - cut_from; t += step / 5) {
@@ -332,35 +333,35 @@
         check.ask(asked);
         world.run_for(step / 5);
     }
-    world.run_for(pending_check::told_most);
-    check_no_faults(world);
+    world.run_for(pending_count_checker::answer_time_limit);
+    check_no_violations(world);
     check.check(200);
 }
 
 // Kills all entries of a data centre that has just taken a job, while others take many and a look shows few rows.
 void play_many_pages(std::uint64_t seed)
 {
-    flow_world::options o = site_options(seed);
-    o.look_rows = 10;
+    flow_simulation::options o = site_options(seed);
+    o.watch_page_rows = 10;
     o.table_latency = slow_table;
-    flow_world world(o);
+    flow_simulation world(o);
     world.run_for(15s + 131ms * static_cast<int>(seed));
-    pending_check check(world);
+    pending_count_checker check(world);
     check.submit(0);
     world.run_for(1500ms);
-    check.note_accepted();
+    check.record_accepted();
     BOOST_REQUIRE(check.accepted() == 1);
     kill_first_data_centre(world);
     for (duration t{0}; t < 15s; t += step) {
-        for (int entry = entries_each; entry < entries_count; ++entry) {
-            check.note_accepted();
+        for (int entry = entries_per_data_centre; entry < entries_count; ++entry) {
+            check.record_accepted();
             check.ask(entry);
             check.submit(entry);
         }
         world.run_for(step);
     }
-    world.run_for(pending_check::told_most);
-    check_no_faults(world);
+    world.run_for(pending_count_checker::answer_time_limit);
+    check_no_violations(world);
     check.check_answered();
 }
 
--- a/tests/test_flow_pending_gone.cpp
+++ b/tests/test_flow_pending_gone.cpp
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 #include "support_pending.h"
 
 using namespace skylarkhub;
@@ -19,54 +19,54 @@
 constexpr duration asked_for = 15s;
 
 struct gone_case {
-    int entries_each = 2; // all of a data centre are killed
+    int entries_per_data_centre = 2; // all of a data centre are killed
     duration page_time{0};
     bool other_cut = false; // a data centre is cut off from its peers meanwhile, and reaches the table
-    bool forget_history = false;
+    bool discard_change_history = false;
 };
 
 // Kills all entries of the data centre whose cell has just taken jobs, and asks the others.
 void play(const gone_case& c, int phase)
 {
-    flow_world::options o;
+    flow_simulation::options o;
     o.seed = static_cast<std::uint64_t>(phase) + 1;
     o.data_centres = {"a", "b", "c", "d"};
-    o.entries_each = c.entries_each;
-    o.workers_each = 12;
+    o.entries_per_data_centre = c.entries_per_data_centre;
+    o.workers_per_data_centre = 12;
     o.rack_size = 6;
-    o.jobs_page_time = c.page_time;
-    flow_world world(o);
-    const int entries = data_centres * c.entries_each;
+    o.job_page_transfer_time = c.page_time;
+    flow_simulation world(o);
+    const int entries = data_centres * c.entries_per_data_centre;
     world.run_for(killed_after + phase * 131ms);
     int owner = 0;
-    for (int entry = 0; entry < c.entries_each; ++entry) {
+    for (int entry = 0; entry < c.entries_per_data_centre; ++entry) {
         const auto& cells = world.entry(entry)->cells();
         if (std::any_of(cells.begin(), cells.end(), [](const auto& cell) { return cell.second->owns(); })) {
             owner = entry;
         }
     }
-    for (int entry = entries - c.entries_each; c.other_cut && entry < entries; ++entry) {
+    for (int entry = entries - c.entries_per_data_centre; c.other_cut && entry < entries; ++entry) {
         world.cut_entry_from_peers(entry, true);
     }
-    pending_check check(world);
+    pending_count_checker check(world);
     check.submit(owner);
     world.run_for(accepted_after);
-    check.note_accepted();
+    check.record_accepted();
     BOOST_REQUIRE(check.accepted() == 1);
-    for (int entry = 0; entry < c.entries_each; ++entry) {
+    for (int entry = 0; entry < c.entries_per_data_centre; ++entry) {
         world.kill_entry(entry);
     }
-    if (c.forget_history) {
-        world.forget_history();
+    if (c.discard_change_history) {
+        world.discard_change_history();
     }
     for (duration t{0}; t < asked_for; t += step) {
-        for (int entry = c.entries_each; entry < entries; ++entry) {
+        for (int entry = c.entries_per_data_centre; entry < entries; ++entry) {
             check.ask(entry);
         }
         world.run_for(step);
     }
-    world.run_for(pending_check::told_most);
-    check_no_faults(world);
+    world.run_for(pending_count_checker::answer_time_limit);
+    check_no_violations(world);
     check.check(400);
 }
 
@@ -88,7 +88,7 @@
 // The same where the owner had no neighbour.
 BOOST_AUTO_TEST_CASE(jobs_of_the_only_entry_of_a_data_centre_are_counted)
 {
-    play_all({.entries_each = 1});
+    play_all({.entries_per_data_centre = 1});
 }
 
 // The follower takes the old count for its own while it reads the rows.
--- a/tests/test_flow_pending_restarts.cpp
+++ b/tests/test_flow_pending_restarts.cpp
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 #include "support_pending.h"
 
 using namespace skylarkhub;
@@ -43,7 +43,7 @@
             world_.set_table_down(t >= case_.table_away_from && t < case_.table_away_until);
             restart(t);
             submit(t);
-            counts_.note_accepted();
+            counts_.record_accepted();
             for (int entry = 0; entry < entries_count; ++entry) {
                 if (is_asked(entry)) {
                     counts_.ask(entry);
@@ -51,20 +51,20 @@
             }
             world_.run_for(step);
         }
-        world_.run_for(pending_check::told_most);
-        check_no_faults(world_);
+        world_.run_for(pending_count_checker::answer_time_limit);
+        check_no_violations(world_);
         counts_.check(1500);
     }
 
 private:
-    static flow_world::options make_options(const restart_case& c)
+    static flow_simulation::options make_options(const restart_case& c)
     {
-        flow_world::options o;
+        flow_simulation::options o;
         o.data_centres = {"a", "b"};
-        o.entries_each = entries_count / 2;
-        o.workers_each = 12;
+        o.entries_per_data_centre = entries_count / 2;
+        o.workers_per_data_centre = 12;
         o.rack_size = 6;
-        o.jobs_page_time = c.page_time;
+        o.job_page_transfer_time = c.page_time;
         o.link_bytes_per_s = c.link_bytes_per_s;
         return o;
     }
@@ -85,7 +85,7 @@
                 continue;
             }
             world_.kill_entry(at->first);
-            counts_.note_killed(at->first);
+            counts_.record_killed(at->first);
             world_.start_entry(at->first);
             at = away_.erase(at);
         }
@@ -120,12 +120,12 @@
     }
 
     restart_case case_;
-    flow_world world_;
+    flow_simulation world_;
     instant begun_{};
     int restarted_ = 0;
     std::map<int, instant> away_; // and when it comes back
     std::int64_t submitted_ = 0;  // or due while the entry was away
-    pending_check counts_;
+    pending_count_checker counts_;
 };
 
 void check_counts(const restart_case& c)
--- a/tests/test_flow_restarts_leases.cpp
+++ b/tests/test_flow_restarts_leases.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr int entries_count = 12;
-constexpr int workers_each = 12;
+constexpr int workers_per_data_centre = 12;
 constexpr int jobs_count = 6;
 constexpr int tasks_each = 6;
 constexpr int tasks_all = jobs_count * tasks_each;
@@ -55,11 +55,11 @@
             BOOST_REQUIRE(world_.submit(entry, jobs_.back(), lasting_spec(tasks_each, 4000)) ==
                           caller_result::accepted);
         }
-        BOOST_REQUIRE(world_.run_until([this] { return world_.running_count() == tasks_all; }, 10s));
+        BOOST_REQUIRE(world_.run_until([this] { return world_.count_all_running_tasks() == tasks_all; }, 10s));
         world_.run_for(3s + phase * phase_step);
     }
 
-    flow_world& world() { return world_; }
+    flow_simulation& world() { return world_; }
 
     void lose_workers(gone_kind how)
     {
@@ -158,7 +158,7 @@
         };
         std::int64_t starts = 0;
         for (const std::string& job : jobs_) {
-            starts += world_.starts_of(job);
+            starts += world_.count_job_starts(job);
         }
         const auto anew = starts - tasks_all - static_cast<std::int64_t>(lost_.size());
         const std::string told =
@@ -168,18 +168,18 @@
         BOOST_TEST_MESSAGE(told);
         BOOST_TEST((whole && whole_at_ <= std::max(gone_at_, last_down_) + still_most), told);
         BOOST_TEST(anew == 0, told);
-        check_no_faults(world_);
+        check_no_violations(world_);
     }
 
 private:
-    static flow_world::options make_options(duration page_time)
+    static flow_simulation::options make_options(duration page_time)
     {
-        flow_world::options o;
+        flow_simulation::options o;
         o.data_centres = {"a", "b"};
-        o.entries_each = entries_count / 2;
-        o.workers_each = workers_each;
+        o.entries_per_data_centre = entries_count / 2;
+        o.workers_per_data_centre = workers_per_data_centre;
         o.rack_size = 6;
-        o.jobs_page_time = page_time;
+        o.job_page_transfer_time = page_time;
         return o;
     }
 
@@ -197,7 +197,7 @@
         return running;
     }
 
-    flow_world world_;
+    flow_simulation world_;
     std::vector<std::string> jobs_;
     std::set<flow_task_id> lost_;
     std::map<int, instant> away_; // and when it comes back
--- a/tests/test_flow_restarts_news.cpp
+++ b/tests/test_flow_restarts_news.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -25,7 +25,7 @@
 constexpr duration restart_gap = 400ms;
 constexpr duration restart_takes = 800ms;
 
-int owner_of(flow_world& w, const std::string& cell, int entries)
+int owner_of(flow_simulation& w, const std::string& cell, int entries)
 {
     for (int i = 0; i < entries; ++i) {
         if (w.entry(i) != nullptr) {
@@ -41,7 +41,7 @@
 enum class stop_kind : std::uint8_t { killed, planned };
 
 // Accepted by an entry that reaches no peer, and that is gone before it does. Whether the job was accepted.
-bool accept_untold(flow_world& w, int entry, const std::string& job, const flow_spec& spec, stop_kind kind)
+bool accept_untold(flow_simulation& w, int entry, const std::string& job, const flow_spec& spec, stop_kind kind)
 {
     w.cut_entry_from_peers(entry, true);
     w.send_submit(entry, job, spec);
@@ -49,7 +49,7 @@
         w.run_until([&] { return w.answers().count(job) != 0 && !w.answers().at(job).empty(); }, 1s) &&
         w.answers().at(job).front() == caller_result::accepted;
     if (kind == stop_kind::planned) {
-        w.stop_by_plan(entry);
+        w.shut_down_entry(entry);
     }
     else {
         w.kill_entry(entry);
@@ -61,7 +61,7 @@
 void check_untold_job_starts(stop_kind kind, bool owner_turned_away, bool lasting)
 {
     constexpr int entries = 3;
-    flow_world w({.entries_each = entries});
+    flow_simulation w({.entries_per_data_centre = entries});
     w.run_for(3s);
     const int owner = owner_of(w, "a", entries);
     BOOST_REQUIRE(owner >= 0);
@@ -70,27 +70,27 @@
     BOOST_REQUIRE(owner_of(w, "a", entries) == owner);
     BOOST_REQUIRE(accept_untold(w, (owner + 1) % entries, job_a, lasting ? lasting_spec(1) : chain_spec(1, 1), kind));
     const instant accepted = w.now();
-    const bool in_time = w.run_until([&] { return w.starts_of(job_a) > 0; }, started_most);
+    const bool in_time = w.run_until([&] { return w.count_job_starts(job_a) > 0; }, started_most);
     BOOST_TEST(in_time);
     BOOST_TEST(owner_of(w, "a", entries) == owner);
-    w.run_until([&] { return w.starts_of(job_a) > 0; }, turned_away - started_most);
+    w.run_until([&] { return w.count_job_starts(job_a) > 0; }, turned_away - started_most);
     w.cut_entry_from_table(owner, false);
-    w.run_until([&] { return w.starts_of(job_a) > 0; }, 10s);
+    w.run_until([&] { return w.count_job_starts(job_a) > 0; }, 10s);
     BOOST_TEST_MESSAGE(fmt::format("started {} ms after it was accepted", (w.now() - accepted) / 1ms));
-    BOOST_TEST(w.starts_of(job_a) == 1);
-    check_no_faults(w);
+    BOOST_TEST(w.count_job_starts(job_a) == 1);
+    check_no_violations(w);
 }
 
 // A lasting task that ends in a cell without workers that take it, and what happens to entries around its move.
 class moving_task {
 public:
-    moving_task() : world_({.data_centres = {"a", "b"}, .entries_each = 3, .workers_each = 2})
+    moving_task() : world_({.data_centres = {"a", "b"}, .entries_per_data_centre = 3, .workers_per_data_centre = 2})
     {
         world_.run_for(3s);
-        world_.accept_unheard(job_a, cell_id("a"), lasting_spec(2, 1000));
-        BOOST_REQUIRE(world_.run_until([&] { return world_.running_of(job_a) == 2; }, 5s));
+        world_.insert_unannounced_job(job_a, cell_id("a"), lasting_spec(2, 1000));
+        BOOST_REQUIRE(world_.run_until([&] { return world_.count_running_tasks(job_a) == 2; }, 5s));
         for (int i = 0; i < 2; ++i) {
-            world_.drop_worker_listing(i, true);
+            world_.set_worker_unlisted(i, true);
         }
         world_.run_for(2s);
         giver_ = owner_of(world_, "a", entries_count);
@@ -99,7 +99,7 @@
         BOOST_REQUIRE(receiver_ >= 0);
     }
 
-    flow_world& world() { return world_; }
+    flow_simulation& world() { return world_; }
     int giver() const { return giver_; }
     int receiver() const { return receiver_; }
 
@@ -111,8 +111,8 @@
 
     void wait_until_given()
     {
-        const std::int64_t given = world_.logged("task", "given_away");
-        BOOST_REQUIRE(world_.run_until([&] { return world_.logged("task", "given_away") > given; }, 4s));
+        const std::int64_t given = world_.count_log_events("task", "given_away");
+        BOOST_REQUIRE(world_.run_until([&] { return world_.count_log_events("task", "given_away") > given; }, 4s));
     }
 
     void restart(int entry)
@@ -149,7 +149,7 @@
     // How long it was away; at most `most`.
     duration wait_until_it_runs(duration most)
     {
-        while (world_.running_of(job_a) < 2 && world_.now() - ended_ < most) {
+        while (world_.count_running_tasks(job_a) < 2 && world_.now() - ended_ < most) {
             go_on(20ms);
         }
         return world_.now() - ended_;
@@ -157,7 +157,7 @@
 
 private:
     static constexpr int entries_count = 6;
-    flow_world world_;
+    flow_simulation world_;
     int giver_ = -1;
     int receiver_ = -1;
     instant ended_{};
@@ -169,7 +169,7 @@
     const duration away = m.wait_until_it_runs(30s);
     *longest = std::max(*longest, away);
     BOOST_TEST(away <= away_most, "away for " << away / 1ms << " ms");
-    check_no_faults(m.world());
+    check_no_violations(m.world());
 }
 
 } // namespace
@@ -209,11 +209,11 @@
                 BOOST_TEST_CONTEXT("page " << page_time / 1ms << " ms, kind " << static_cast<int>(kind)
                                            << ", stopped after " << stopped_after / 1ms << " ms")
                 {
-                    flow_world w({.data_centres = {"a", "b"},
-                                  .entries_each = entries / 2,
-                                  .workers_each = 12,
-                                  .rack_size = 6,
-                                  .jobs_page_time = page_time});
+                    flow_simulation w({.data_centres = {"a", "b"},
+                                       .entries_per_data_centre = entries / 2,
+                                       .workers_per_data_centre = 12,
+                                       .rack_size = 6,
+                                       .job_page_transfer_time = page_time});
                     w.run_for(5s);
                     std::map<std::string, instant> sent;
                     std::map<int, instant> back;
@@ -251,7 +251,7 @@
                             at = back.erase(at);
                         }
                         std::erase_if(sent, [&](const auto& s) {
-                            const bool started = w.starts_of(s.first) > 0;
+                            const bool started = w.count_job_starts(s.first) > 0;
                             longest = started ? std::max<duration>(longest, w.now() - s.second) : longest;
                             return started;
                         });
@@ -259,7 +259,7 @@
                     }
                     for (const auto& [job, at] : sent) {
                         // One that was not written was not accepted.
-                        const bool there = w.rows_of(job) > 0;
+                        const bool there = w.count_owner_rows(job) > 0;
                         BOOST_TEST(!there, "job " << job << " never started");
                         refused += there ? 0 : 1;
                     }
@@ -267,7 +267,7 @@
                                                    page_time / 1ms, static_cast<int>(kind), stopped_after / 1ms,
                                                    longest / 1ms, refused));
                     BOOST_TEST(longest <= away_most, "longest " << longest / 1ms << " ms");
-                    check_no_faults(w);
+                    check_no_violations(w);
                 }
             }
         }
@@ -354,22 +354,22 @@
 
 void check_one_a_worker(std::int64_t room_of_last)
 {
-    flow_world w({.data_centres = {"a", "b", "c"}, .workers_each = 2});
+    flow_simulation w({.data_centres = {"a", "b", "c"}, .workers_per_data_centre = 2});
     for (int i = 4; i < 6; ++i) {
-        w.set_room(i, {room_of_last, 64000, 0}, 0ms);
+        w.set_worker_capacity(i, {room_of_last, 64000, 0}, 0ms);
     }
     w.run_for(3s);
     flow_spec spec = lasting_spec(6, 4000);
     spec.steps.front().per_worker_most = 1;
-    w.accept_unheard(job_a, cell_id("a"), spec);
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 6; }, 2s + away_most));
-    BOOST_TEST_MESSAGE(
-        fmt::format("running {}, given away {} times", w.running_of(job_a), w.logged("task", "given_away")));
+    w.insert_unannounced_job(job_a, cell_id("a"), spec);
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 6; }, 2s + away_most));
+    BOOST_TEST_MESSAGE(fmt::format("running {}, given away {} times", w.count_running_tasks(job_a),
+                                   w.count_log_events("task", "given_away")));
     w.run_for(20s);
-    BOOST_TEST(w.running_of(job_a) == 6);
-    BOOST_TEST_MESSAGE(
-        fmt::format("20 s later running {}, given away {} times", w.running_of(job_a), w.logged("task", "given_away")));
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 6);
+    BOOST_TEST_MESSAGE(fmt::format("20 s later running {}, given away {} times", w.count_running_tasks(job_a),
+                                   w.count_log_events("task", "given_away")));
+    check_no_violations(w);
 }
 
 } // namespace
@@ -389,37 +389,37 @@
 // Two cells with processors left on one worker and memory on another send a task to and fro.
 BOOST_AUTO_TEST_CASE(a_lasting_task_finds_the_cell_with_processors_and_memory_on_one_worker)
 {
-    flow_world w({.data_centres = {"a", "b", "c"}, .workers_each = 2});
-    w.set_room(4, {6000, 64000, 0}, 0ms);
-    w.set_room(5, {6000, 64000, 0}, 0ms);
+    flow_simulation w({.data_centres = {"a", "b", "c"}, .workers_per_data_centre = 2});
+    w.set_worker_capacity(4, {6000, 64000, 0}, 0ms);
+    w.set_worker_capacity(5, {6000, 64000, 0}, 0ms);
     w.run_for(3s);
     flow_spec processors = lasting_spec(1, 15500);
     processors.steps.front().need.memory_mib = 100;
     flow_spec memory = lasting_spec(1, 1000);
     memory.steps.front().need.memory_mib = 63000;
-    w.accept_unheard(job_b, cell_id("a"), processors);
-    w.accept_unheard(job_c, cell_id("b"), processors);
+    w.insert_unannounced_job(job_b, cell_id("a"), processors);
+    w.insert_unannounced_job(job_c, cell_id("b"), processors);
     w.run_for(2500ms);
-    w.accept_unheard(job_d, cell_id("a"), memory);
-    w.accept_unheard(job_e, cell_id("b"), memory);
+    w.insert_unannounced_job(job_d, cell_id("a"), memory);
+    w.insert_unannounced_job(job_e, cell_id("b"), memory);
     w.run_for(2500ms);
     for (const std::string& job : {job_b, job_c, job_d, job_e}) {
-        BOOST_REQUIRE(w.running_of(job) == 1);
+        BOOST_REQUIRE(w.count_running_tasks(job) == 1);
     }
     for (int i = 0; i < 4; ++i) {
         BOOST_REQUIRE(w.worker(i).running.size() == 1);
     }
     flow_spec spec = lasting_spec(1, 4000);
     spec.steps.front().need.memory_mib = 4000;
-    w.accept_unheard(job_a, cell_id("a"), spec);
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 1; }, 2s + away_most));
-    BOOST_TEST_MESSAGE(
-        fmt::format("running {}, given away {} times", w.running_of(job_a), w.logged("task", "given_away")));
+    w.insert_unannounced_job(job_a, cell_id("a"), spec);
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 1; }, 2s + away_most));
+    BOOST_TEST_MESSAGE(fmt::format("running {}, given away {} times", w.count_running_tasks(job_a),
+                                   w.count_log_events("task", "given_away")));
     w.run_for(20s);
-    BOOST_TEST(w.running_of(job_a) == 1);
-    BOOST_TEST_MESSAGE(
-        fmt::format("20 s later running {}, given away {} times", w.running_of(job_a), w.logged("task", "given_away")));
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 1);
+    BOOST_TEST_MESSAGE(fmt::format("20 s later running {}, given away {} times", w.count_running_tasks(job_a),
+                                   w.count_log_events("task", "given_away")));
+    check_no_violations(w);
 }
 
 // Short work takes what opens on a full site before a lasting task that waits in another cell has come there.
@@ -429,21 +429,21 @@
     for (duration phase{0}; phase < 1s; phase += 100ms) {
         BOOST_TEST_CONTEXT("room opens after " << phase / 1ms << " ms")
         {
-            flow_world w({.data_centres = {"a", "b"}, .workers_each = 2});
+            flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 2});
             w.run_for(3s);
-            w.accept_unheard(job_b, cell_id("a"), lasting_spec(8, 4000));
-            w.accept_unheard(job_c, cell_id("b"), lasting_spec(7, 4000));
-            w.accept_unheard(job_d, cell_id("b"), lasting_spec(1, 4000));
-            BOOST_REQUIRE(w.run_until([&] { return w.running_count() == 16; }, 6s));
-            w.accept_unheard(job_a, cell_id("a"), lasting_spec(1, 4000));
-            w.accept_unheard(job_e, cell_id("b"), chain_spec(1, 400, 1500));
+            w.insert_unannounced_job(job_b, cell_id("a"), lasting_spec(8, 4000));
+            w.insert_unannounced_job(job_c, cell_id("b"), lasting_spec(7, 4000));
+            w.insert_unannounced_job(job_d, cell_id("b"), lasting_spec(1, 4000));
+            BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == 16; }, 6s));
+            w.insert_unannounced_job(job_a, cell_id("a"), lasting_spec(1, 4000));
+            w.insert_unannounced_job(job_e, cell_id("b"), chain_spec(1, 400, 1500));
             w.run_for(4s + phase);
-            BOOST_REQUIRE(w.running_of(job_a) == 0);
+            BOOST_REQUIRE(w.count_running_tasks(job_a) == 0);
             const instant opened = w.now();
             BOOST_REQUIRE(w.cancel(0, job_d) == caller_result::cancelled);
-            BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 1; }, away_most));
+            BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 1; }, away_most));
             longest = std::max<duration>(longest, w.now() - opened);
-            check_no_faults(w);
+            check_no_violations(w);
         }
     }
     BOOST_TEST_MESSAGE(fmt::format("longest {} ms", longest / 1ms));
@@ -458,23 +458,23 @@
         for (std::uint64_t seed = 1; seed <= 4; ++seed) {
             BOOST_TEST_CONTEXT("short runs of " << short_run / 1ms << " ms, seed " << seed)
             {
-                flow_world w({.seed = seed,
-                              .data_centres = {"a", "b", "c", "d"},
-                              .workers_each = 4,
-                              .run_time = [short_run, seed](const flow_task_id& task) {
-                                  return short_run + (task.index * 37 + static_cast<int>(seed) * 101) % 400 * 1ms;
-                              }});
+                flow_simulation w({.seed = seed,
+                                   .data_centres = {"a", "b", "c", "d"},
+                                   .workers_per_data_centre = 4,
+                                   .run_time = [short_run, seed](const flow_task_id& task) {
+                                       return short_run + (task.index * 37 + static_cast<int>(seed) * 101) % 400 * 1ms;
+                                   }});
                 w.run_for(3s);
-                w.accept_unheard(job_a, cell_id("a"), lasting_spec(8, 8000));
-                BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 8; }, 6s));
+                w.insert_unannounced_job(job_a, cell_id("a"), lasting_spec(8, 8000));
+                BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 8; }, 6s));
                 const std::vector<std::string> shorts{job_b, job_c, job_d};
                 for (std::size_t i = 0; i < shorts.size(); ++i) {
-                    w.accept_unheard(shorts.at(i), cell_id(std::string(1, static_cast<char>('b' + i))),
-                                     chain_spec(1, 400, 3000));
+                    w.insert_unannounced_job(shorts.at(i), cell_id(std::string(1, static_cast<char>('b' + i))),
+                                             chain_spec(1, 400, 3000));
                 }
                 w.run_for(4s);
-                w.drop_worker_listing(0, true); // what runs there goes on, nothing more is started
-                w.drop_worker_listing(1, true);
+                w.set_worker_unlisted(0, true); // what runs there goes on, nothing more is started
+                w.set_worker_unlisted(1, true);
                 w.run_for(1500ms);
                 std::vector<flow_task_id> ended;
                 for (int i = 0; i < 2; ++i) {
@@ -483,18 +483,18 @@
                     }
                 }
                 BOOST_REQUIRE(ended.size() == displaced);
-                const std::int64_t given = w.logged("task", "given_away");
+                const std::int64_t given = w.count_log_events("task", "given_away");
                 for (const flow_task_id& task : ended) {
                     w.fail_run(task);
                 }
                 const instant begun = w.now();
-                const bool in_time = w.run_until([&] { return w.running_of(job_a) == 8; }, away_most);
-                BOOST_TEST(in_time, w.running_of(job_a) << " of 8 run");
-                w.run_until([&] { return w.running_of(job_a) == 8; }, 30s);
+                const bool in_time = w.run_until([&] { return w.count_running_tasks(job_a) == 8; }, away_most);
+                BOOST_TEST(in_time, w.count_running_tasks(job_a) << " of 8 run");
+                w.run_until([&] { return w.count_running_tasks(job_a) == 8; }, 30s);
                 BOOST_TEST_MESSAGE(fmt::format("short {} ms, seed {}: all run after {} ms, given away {} times",
                                                short_run / 1ms, seed, (w.now() - begun) / 1ms,
-                                               w.logged("task", "given_away") - given));
-                check_no_faults(w);
+                                               w.count_log_events("task", "given_away") - given));
+                check_no_violations(w);
             }
         }
     }
@@ -517,27 +517,27 @@
 // Two cells where short work could make way, but memory does not, send a task to and fro.
 BOOST_AUTO_TEST_CASE(a_lasting_task_finds_the_cell_where_short_work_makes_room)
 {
-    flow_world w({.data_centres = {"a", "b", "c", "d"}, .workers_each = 2, .run_time = [](const flow_task_id& task) {
-                      return duration(500ms + task.index % 7 * 60ms);
-                  }});
+    flow_simulation w({.data_centres = {"a", "b", "c", "d"},
+                       .workers_per_data_centre = 2,
+                       .run_time = [](const flow_task_id& task) { return duration(500ms + task.index % 7 * 60ms); }});
     w.run_for(3s);
     flow_spec memory = lasting_spec(2, 1000);
     memory.steps.front().need.memory_mib = 60000;
-    w.accept_unheard(job_b, cell_id("b"), memory);
-    w.accept_unheard(job_c, cell_id("d"), memory);
-    w.accept_unheard(job_d, cell_id("c"), lasting_spec(4, 4000));
-    w.accept_unheard(job_e, cell_id("a"), lasting_spec(8, 4000));
-    BOOST_REQUIRE(w.run_until([&] { return w.running_count() == 16; }, 6s));
+    w.insert_unannounced_job(job_b, cell_id("b"), memory);
+    w.insert_unannounced_job(job_c, cell_id("d"), memory);
+    w.insert_unannounced_job(job_d, cell_id("c"), lasting_spec(4, 4000));
+    w.insert_unannounced_job(job_e, cell_id("a"), lasting_spec(8, 4000));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == 16; }, 6s));
     for (const std::string cell : {"b", "c", "d"}) {
-        w.accept_unheard("00000000000000f" + cell, cell_id(cell), chain_spec(1, 400, 2500));
+        w.insert_unannounced_job("00000000000000f" + cell, cell_id(cell), chain_spec(1, 400, 2500));
     }
     w.run_for(4s);
     flow_spec spec = lasting_spec(1, 4000);
     spec.steps.front().need.memory_mib = 8000;
-    w.accept_unheard(job_a, cell_id("a"), spec);
-    const std::int64_t given = w.logged("task", "given_away");
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 1; }, 2s + away_most));
-    BOOST_TEST_MESSAGE(
-        fmt::format("running {}, given away {} times", w.running_of(job_a), w.logged("task", "given_away") - given));
-    check_no_faults(w);
+    w.insert_unannounced_job(job_a, cell_id("a"), spec);
+    const std::int64_t given = w.count_log_events("task", "given_away");
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 1; }, 2s + away_most));
+    BOOST_TEST_MESSAGE(fmt::format("running {}, given away {} times", w.count_running_tasks(job_a),
+                                   w.count_log_events("task", "given_away") - given));
+    check_no_violations(w);
 }
--- a/tests/test_flow_restarts_runs.cpp
+++ b/tests/test_flow_restarts_runs.cpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -84,10 +84,12 @@
             "seed {}, longest away {} ms, lost {}, away too long {}, not back {}, faults {}; taken {}, owned {}, cell "
             "lost {}, "
             "accounted {}, lapsed unasked {}, short jobs {}",
-            seed_, tally_.longest / 1ms, tally_.lost, tally_.long_away, tally_.never_back, world_.faults().size(),
-            world_.logged("cell", "taken"), world_.logged("cell", "owned"), world_.logged("cell", "lost"),
-            world_.logged("cell", "accounted"), world_.logged("worker", "lapsed_unasked"), submitted_));
-        check_no_faults(world_);
+            seed_, tally_.longest / 1ms, tally_.lost, tally_.long_away, tally_.never_back,
+            world_.invariant_violations().size(), world_.count_log_events("cell", "taken"),
+            world_.count_log_events("cell", "owned"), world_.count_log_events("cell", "lost"),
+            world_.count_log_events("cell", "accounted"), world_.count_log_events("worker", "lapsed_unasked"),
+            submitted_));
+        check_no_violations(world_);
         return tally_;
     }
 
@@ -98,17 +100,17 @@
         bool counted_lost = false;
     };
 
-    static flow_world::options make_options(const restart_case& c, std::uint64_t seed)
+    static flow_simulation::options make_options(const restart_case& c, std::uint64_t seed)
     {
-        flow_world::options o;
+        flow_simulation::options o;
         o.seed = seed;
         o.data_centres = {"a", "b"};
-        o.entries_each = entries_count / 2;
-        o.workers_each = 12;
+        o.entries_per_data_centre = entries_count / 2;
+        o.workers_per_data_centre = 12;
         o.rack_size = 6;
-        o.jobs_page_time = c.page_time;
+        o.job_page_transfer_time = c.page_time;
         for (int i = 1; c.old_lists && i < entries_count; i += 2) {
-            o.list_latencies[i] = 3s;
+            o.list_latency_by_entry[i] = 3s;
         }
         o.run_time = [](const flow_task_id& task) {
             return 100ms + 250ms * (static_cast<int>(std::hash<std::string>()(task.job.str()) % 6) + task.index % 2);
@@ -122,7 +124,8 @@
             const std::string job = fmt::format("{:016x}", 0xa00 + i);
             BOOST_REQUIRE(world_.submit(i, job, lasting_spec(lasting_tasks, lasting_cpu)) == caller_result::accepted);
         }
-        BOOST_REQUIRE(world_.run_until([this] { return world_.running_count() == lasting_jobs * lasting_tasks; }, 10s));
+        BOOST_REQUIRE(
+            world_.run_until([this] { return world_.count_all_running_tasks() == lasting_jobs * lasting_tasks; }, 10s));
         for (int i = 0; i < lasting_jobs; ++i) {
             for (int n = 0; n < lasting_tasks; ++n) {
                 seen_[{job_id(fmt::format("{:016x}", 0xa00 + i)), 0, 0, n}].last = world_.now();
@@ -170,7 +173,7 @@
             away_[entry] = world_.now() + 3s;
             return;
         case restart_kind::frozen:
-            world_.freeze_entry(entry);
+            world_.pause_entry(entry);
             away_[entry] = world_.now() + std::chrono::milliseconds(absl::Uniform(random_, 500, 7000));
             return;
         }
@@ -191,7 +194,7 @@
                 continue;
             }
             if (case_.kind == restart_kind::frozen) {
-                world_.thaw_entry(entry, absl::Uniform(random_, 0, 2) == 0);
+                world_.resume_entry(entry, absl::Uniform(random_, 0, 2) == 0);
             }
             else {
                 world_.kill_entry(entry);
@@ -216,7 +219,7 @@
         for (auto at = unlisted_.begin(); at != unlisted_.end();) {
             const bool over = world_.now() >= at->second;
             if (over && world_.worker(at->first).up) {
-                world_.drop_worker_listing(at->first, false);
+                world_.set_worker_unlisted(at->first, false);
             }
             at = over ? unlisted_.erase(at) : std::next(at);
         }
@@ -229,7 +232,7 @@
         const bool leaves = case_.trouble == worker_trouble::leave ||
                             (case_.trouble == worker_trouble::mixed && absl::Uniform(random_, 0, 2) == 0);
         if (case_.trouble == worker_trouble::unlisted && world_.worker(worker).up) {
-            world_.drop_worker_listing(worker, true);
+            world_.set_worker_unlisted(worker, true);
             unlisted_[worker] = world_.now() + std::chrono::milliseconds(absl::Uniform(random_, 500, 9000));
         }
         else if (leaves) {
@@ -296,7 +299,7 @@
     restart_case case_;
     std::uint64_t seed_;
     random_source random_;
-    flow_world world_;
+    flow_simulation world_;
     instant begun_{};
     instant impaired_at_{};
     int restarted_ = 0;
@@ -485,11 +488,11 @@
     for (duration worker_gone = 5s; worker_gone < 9s; worker_gone += 200ms) {
         BOOST_TEST_CONTEXT("worker gone after " << worker_gone / 1ms << " ms")
         {
-            flow_world w({.data_centres = {"a", "b"}, .entries_each = 1, .workers_each = 4});
+            flow_simulation w({.data_centres = {"a", "b"}, .entries_per_data_centre = 1, .workers_per_data_centre = 4});
             w.run_for(3s);
             const std::string job = "0000000000000aaa";
             BOOST_REQUIRE(w.submit(1, job, lasting_spec(3, 9000)) == caller_result::accepted);
-            BOOST_REQUIRE(w.run_until([&] { return w.running_of(job) == 3; }, 10s));
+            BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job) == 3; }, 10s));
             w.run_for(3s);
             const int owner = w.entry(0)->cells().at(cell_id("b"))->owns() ? 0 : 1;
             int busy = w.worker_count() - 1; // another one answers the follower's first question
@@ -501,8 +504,8 @@
             w.run_for(worker_gone);
             w.worker(busy).reachable = false;
             w.run_for(15s);
-            BOOST_TEST(w.logged("cell", "taken") >= 3);
-            check_no_faults(w);
+            BOOST_TEST(w.count_log_events("cell", "taken") >= 3);
+            check_no_violations(w);
         }
     }
 }
