--- a/tests/test_flow_room.cpp
+++ b/tests/test_flow_room.cpp
@@ -2,7 +2,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "support_flow_checks.h"
-#include "support_flow_world.h"
+#include "support_flow_simulation.h"
 
 using namespace skylarkhub;
 using namespace skylarkhub::test;
@@ -21,56 +21,58 @@
 // A worker's room shrinks while a start waits for its row to be written, and the start goes over it.
 BOOST_AUTO_TEST_CASE(a_start_that_waits_for_its_row_is_taken_back_when_the_room_shrinks)
 {
-    flow_world w({.entries_each = 1, .workers_each = 1, .shrunk_room_grace = list_heard_within});
+    flow_simulation w(
+        {.entries_per_data_centre = 1, .workers_per_data_centre = 1, .shrunk_room_grace = list_heard_within});
     w.run_for(3s);
     w.delay_next_row_write(5s);
     w.send_submit(0, job_a, lasting_spec(1, 4000));
-    BOOST_REQUIRE(w.run_until([&] { return w.logged("run", "placed") == 1; }, 2s));
-    w.set_room(0, shrunk, duration(0));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_log_events("run", "placed") == 1; }, 2s));
+    w.set_worker_capacity(0, shrunk, duration(0));
     w.run_for(8s);
-    BOOST_TEST(w.running_of(job_a) == 0);
-    w.set_room(0, whole, duration(0));
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_a) == 1; }, 5s));
-    check_no_faults(w);
+    BOOST_TEST(w.count_running_tasks(job_a) == 0);
+    w.set_worker_capacity(0, whole, duration(0));
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 1; }, 5s));
+    check_no_violations(w);
 }
 
 // A start is not answered and is sent again, and the worker's room has shrunk meanwhile.
 BOOST_AUTO_TEST_CASE(a_start_is_not_sent_again_to_a_worker_whose_room_has_shrunk)
 {
-    flow_world w({.entries_each = 1, .workers_each = 1, .shrunk_room_grace = list_heard_within});
+    flow_simulation w(
+        {.entries_per_data_centre = 1, .workers_per_data_centre = 1, .shrunk_room_grace = list_heard_within});
     w.run_for(3s);
     w.worker(0).reachable = false;
     w.send_submit(0, job_a, chain_spec(1, 1, 4000));
-    BOOST_REQUIRE(w.run_until([&] { return w.logged("run", "placed") == 1; }, 800ms));
-    w.set_room(0, shrunk, duration(0));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_log_events("run", "placed") == 1; }, 800ms));
+    w.set_worker_capacity(0, shrunk, duration(0));
     w.run_for(2500ms);
     w.worker(0).reachable = true;
     w.run_for(3s);
-    BOOST_TEST(w.running_of(job_a) == 0);
-    w.set_room(0, whole, duration(0));
+    BOOST_TEST(w.count_running_tasks(job_a) == 0);
+    w.set_worker_capacity(0, whole, duration(0));
     BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, 15s));
-    check_no_faults(w);
+    check_no_violations(w);
 }
 
 // What is being stopped holds its room until its end is listed, also where the room has shrunk since.
 BOOST_AUTO_TEST_CASE(what_is_being_stopped_counts_against_a_room_that_has_shrunk)
 {
-    flow_world w({.entries_each = 1,
-                  .workers_each = 1,
-                  .run_time = [](const flow_task_id&) { return duration(60s); },
-                  .stop_time = 900ms,
-                  .shrunk_room_grace = list_heard_within});
+    flow_simulation w({.entries_per_data_centre = 1,
+                       .workers_per_data_centre = 1,
+                       .run_time = [](const flow_task_id&) { return duration(60s); },
+                       .stop_time = 900ms,
+                       .shrunk_room_grace = list_heard_within});
     w.run_for(3s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 4, 4000)) == caller_result::accepted);
-    BOOST_REQUIRE(w.run_until([&] { return w.running_of(job_a) == 4; }, 3s));
-    w.set_room(0, {8000, 64000, 0}, duration(0));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 4; }, 3s));
+    w.set_worker_capacity(0, {8000, 64000, 0}, duration(0));
     w.run_for(2s);
     w.send_submit(0, job_b, chain_spec(1, 2, 4000));
     w.run_for(1s);
-    BOOST_TEST(w.running_of(job_b) == 0);
+    BOOST_TEST(w.count_running_tasks(job_b) == 0);
     BOOST_TEST((w.cancel(0, job_a) == caller_result::cancelled));
-    BOOST_TEST(w.run_until([&] { return w.running_of(job_b) == 2; }, 5s));
-    check_no_faults(w);
+    BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_b) == 2; }, 5s));
+    check_no_violations(w);
 }
 
 // Rooms shrink and grow all the time while entries are restarted and the list is behind, and a start goes over one.
@@ -80,17 +82,17 @@
         BOOST_TEST_CONTEXT("seed " << seed)
         {
             random_source random = make_random(seed);
-            flow_world w(
-                {.seed = seed, .data_centres = {"a", "b"}, .workers_each = 4, .run_time = [](const flow_task_id&) {
-                     return duration(1500ms);
-                 }});
+            flow_simulation w({.seed = seed,
+                               .data_centres = {"a", "b"},
+                               .workers_per_data_centre = 4,
+                               .run_time = [](const flow_task_id&) { return duration(1500ms); }});
             w.run_for(2s);
             w.send_submit(0, job_b, lasting_spec(8, 3000));
             w.send_submit(1, job_a, chain_spec(30, 24, 3000));
             for (int change = 0; change < 60; ++change) {
                 w.run_for(700ms);
                 const std::int64_t cpu = 1000 * absl::Uniform(random, 2, 17);
-                w.set_room(absl::Uniform(random, 0, w.worker_count()), {cpu, 64000, 0}, 1500ms);
+                w.set_worker_capacity(absl::Uniform(random, 0, w.worker_count()), {cpu, 64000, 0}, 1500ms);
                 if (change % 10 == 9) {
                     const int entry = absl::Uniform(random, 0, 4);
                     w.kill_entry(entry);
@@ -98,7 +100,7 @@
                     w.start_entry(entry);
                 }
             }
-            check_no_faults(w);
+            check_no_violations(w);
         }
     }
 }
