--- a/src/flow_cell_crashes.cpp
+++ b/src/flow_cell_crashes.cpp
@@ -1,5 +1,5 @@
-// Workers that crash: which tasks are charged with it, and the workers that are kept for a task under suspicion. See
-// place_crash_p.h.
+// Worker crashes: which tasks are charged with a crash, and the dedicated workers on which suspected tasks run alone.
+// A task that is charged with a crash is given a crash row; the rules for the rows are in place_crash_p.h.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -13,8 +13,9 @@
 
 using namespace flow_limits;
 
-// --- who is charged ---
+// --- charging crashes to tasks ---
 
+// Records that the worker has stopped answering and which tasks it was running.
 void flow_cell::note_silence(instant now, const cell_worker& w)
 {
     std::set<flow_task_id> tasks;
@@ -24,32 +25,34 @@
     recent_crashes_.note(now, w.unanswered_since, w.listing.worker, std::move(tasks));
 }
 
+// Lists the runs in the ledger of a lost worker with what is needed to decide which of them caused the crash.
 std::vector<flow_cell::lost_run> flow_cell::list_lost_runs(const cell_worker& w)
 {
     std::vector<lost_run> lost;
     instant newest{};
     for (const auto& [task, run] : w.ledger) {
-        const run_lookup parts = look_up_run(w.listing.worker, task, run.run);
-        newest = parts.live == nullptr ? newest : std::max(newest, parts.live->started);
+        const run_lookup lookup = look_up_run(w.listing.worker, task, run.run);
+        newest = lookup.live == nullptr ? newest : std::max(newest, lookup.live->started);
     }
     for (const auto& [task, run] : w.ledger) {
-        const run_lookup parts = look_up_run(w.listing.worker, task, run.run);
-        if (parts.live == nullptr) {
+        const run_lookup lookup = look_up_run(w.listing.worker, task, run.run);
+        if (lookup.live == nullptr) {
             continue;
         }
-        lost_run each{task, run.run, {}};
-        each.in_crash.crashes = static_cast<int>(charged_rows(parts.task->crash_rows()).size());
-        each.in_crash.alone = parts.live->alone && parts.live->started == newest;
-        each.in_crash.accepted = parts.live->confirmed;
-        each.in_crash.in_a_wave = recent_crashes_.in_a_wave(w.unanswered_since, w.listing.worker, task.job);
-        if (parts.live->started != instant{}) {
-            each.in_crash.age = w.unanswered_since - parts.live->started;
+        lost_run entry{task, run.run, {}};
+        entry.in_crash.crashes = static_cast<int>(charged_rows(lookup.task->crash_rows()).size());
+        entry.in_crash.alone = lookup.live->alone && lookup.live->started == newest;
+        entry.in_crash.accepted = lookup.live->confirmed;
+        entry.in_crash.in_a_wave = recent_crashes_.in_a_wave(w.unanswered_since, w.listing.worker, task.job);
+        if (lookup.live->started != instant{}) {
+            entry.in_crash.age = w.unanswered_since - lookup.live->started;
         }
-        lost.push_back(std::move(each));
+        lost.push_back(std::move(entry));
     }
     return lost;
 }
 
+// Records the crash for each lost run that pick_noted() selects.
 void flow_cell::charge_runs(instant now, const worker_id& worker, const std::vector<lost_run>& lost)
 {
     for (const lost_run& run : pick_noted(lost)) {
@@ -57,7 +60,8 @@
     }
 }
 
-// Empty when the task is not known any more, or has outlived the run.
+// Adds a crash row to the task that lost the run. Returns nothing if the task is unknown, or if crashes up to this run
+// no longer count because the task has survived the run.
 std::optional<wire::crash_row> flow_cell::add_crash_row(instant now, const worker_id& worker, const lost_run& lost)
 {
     const auto found = jobs_.find(lost.task.job);
@@ -69,19 +73,21 @@
     const std::vector<wire::crash_row> noted = job.find_task(lost.task)->crash_rows();
     wire::crash_row crash = recent_crashes_.describe(moment, lost.task, worker, lost.in_crash, noted);
     crash.run = lost.run.value();
-    // Many are beside a crash, and few of them a second time.
-    const bool matters = lost.in_crash.charged || noted.size() + 1 >= crashes_until_sure;
-    const bool kept =
-        job.note_crash(lost.task, crash, matters ? crash_persistence::written : crash_persistence::deferred);
-    if (!kept) {
+    // Many tasks run beside a crash, but few of them a second time. The first row of a task that is not charged is
+    // therefore not written at once.
+    const bool write_now = lost.in_crash.charged || noted.size() + 1 >= crashes_until_sure;
+    const bool added =
+        job.note_crash(lost.task, crash, write_now ? crash_persistence::written : crash_persistence::deferred);
+    if (!added) {
         return std::nullopt;
     }
-    if (matters) {
+    if (write_now) {
         mark_job_dirty(now, job, false);
     }
     return crash;
 }
 
+// Adds a crash row to the task and logs the crash if the task is charged with it or has to start alone.
 void flow_cell::record_crash(instant now, const worker_id& worker, const lost_run& lost)
 {
     const auto crash = add_crash_row(now, worker, lost);
@@ -105,7 +111,8 @@
                  {"crashes", std::to_string(rows.size())}});
 }
 
-// Starts that the owner before has noted, on a worker whose life is over: it crashed before anybody could ask it.
+// Charges starts that the previous owner recorded on a worker whose incarnation is over. That worker crashed before
+// the new owner could query it.
 void flow_cell::charge_noted(instant now, const std::function<bool(const worker_id&)>& is_over)
 {
     for (const auto& [id, job] : jobs_) {
@@ -124,10 +131,11 @@
     }
 }
 
+// Charges the tasks of a worker that has crashed.
 void flow_cell::charge_crash_of(instant now, const cell_worker& w)
 {
     if (w.listing.draining) {
-        return; // it has left as it said
+        return; // a draining worker has left on purpose
     }
     if (w.inherited && !w.fenced) {
         charge_noted(now, [&w](const worker_id& id) { return id == w.listing.worker; });
@@ -135,17 +143,19 @@
     charge_runs(now, w.listing.worker, list_lost_runs(w));
 }
 
-// A worker that does not answer may have crashed, or be cut off. Which it was shows when its address is heard of again.
+// Records the runs of a worker whose leases have ended without an answer. The worker may have crashed or be
+// unreachable; this is decided when a worker is listed at the same address again.
 void flow_cell::record_lapsed_worker(instant now, const cell_worker& w)
 {
     std::erase_if(lapsed_workers_, [now](const auto& l) { return now - l.second.at > lapsed_retention; });
     if (w.ledger.empty() || w.listing.draining) {
         return;
     }
-    lapsed_worker& life = lapsed_workers_[w.listing.address];
-    life = {w.listing.worker, list_lost_runs(w), now};
-    // Its tasks are started elsewhere before its next life is heard of.
-    for (const lost_run& run : life.runs) {
+    lapsed_worker& record = lapsed_workers_[w.listing.address];
+    record = {w.listing.worker, list_lost_runs(w), now};
+    // The lost tasks are started elsewhere before a new incarnation of the worker is listed, so young runs get their
+    // crash rows now.
+    for (const lost_run& run : record.runs) {
         if (was_young(run.in_crash)) {
             add_crash_row(now, w.listing.worker, run);
         }
@@ -158,6 +168,8 @@
     }
 }
 
+// Decides about a lapsed worker when its address is listed again. A different incarnation shows that the worker has
+// crashed; the same incarnation shows that it was only unreachable.
 void flow_cell::charge_lapsed_worker(instant now, const flow_listed_worker& listing)
 {
     const auto at = lapsed_workers_.find(listing.address);
@@ -166,7 +178,7 @@
     }
     if (at->second.worker != listing.worker) {
         charge_runs(now, at->second.worker, at->second.runs);
-        schedule_placement(); // a job may have to be given up
+        schedule_placement(); // placement ends a job whose task has crashed too many workers
     }
     else {
         retract_lapsed_crashes(at->second);
@@ -174,7 +186,7 @@
     lapsed_workers_.erase(at);
 }
 
-// It was cut off and has not crashed.
+// Removes the crash rows of a worker that was unreachable and has not crashed.
 void flow_cell::retract_lapsed_crashes(const lapsed_worker& life)
 {
     for (const lost_run& run : life.runs) {
@@ -185,6 +197,7 @@
     }
 }
 
+// Logs each task of a failed job that has crashed too many workers.
 void flow_cell::log_given_up(const flow_job& job) const
 {
     for (const flow_stage& stage : job.stages()) {
@@ -195,15 +208,16 @@
             }
             edges_.note(log_level::warning, "task", "given_up",
                         {{"task", text_of(job.task_id(stage, i))},
-                         {"reason", "it crashes the workers that start it"},
+                         {"reason", "the task repeatedly crashed the workers that started it"},
                          {"crashed", describe_crashes(task.crash_rows())}});
         }
     }
 }
 
-// --- starting alone ---
+// --- dedicated workers ---
 
-// What it had saved may be what crashes its workers.
+// Returns whether the task, or for a gang any member, may crash workers. The checkpoint may be the cause of the
+// crashes, so such a task starts without it.
 bool flow_cell::starts_without_checkpoint(const flow_job& job, const flow_stage& stage, const flow_task& task)
 {
     return job.step(stage).gang ? std::any_of(stage.tasks.begin(), stage.tasks.end(),
@@ -211,54 +225,60 @@
                                 : task.may_crash_workers();
 }
 
+// Returns whether the worker accepts only one task, which is suspected of crashing workers.
 bool flow_cell::is_dedicated(instant now, const cell_worker& w)
 {
     return w.dedicated_to && now < w.dedicated_until;
 }
 
-// Nothing that was started there may still be about to crash it.
+// Returns whether every run on the worker has been confirmed and has run for alone_settle, so that none of them is
+// likely to crash the worker.
 bool flow_cell::is_settled_on(instant now, const cell_worker& w)
 {
-    return std::all_of(w.ledger.begin(), w.ledger.end(), [&](const auto& held) {
-        const auto& [task, run] = held;
+    return std::all_of(w.ledger.begin(), w.ledger.end(), [&](const auto& item) {
+        const auto& [task, run] = item;
         const live_run* const live = look_up_run(w.listing.worker, task, run.run).live;
         return live == nullptr || (live->confirmed && now - live->started >= alone_settle);
     });
 }
 
-// Tasks there that are charged with a crash: together again they could not be told apart.
+// Counts the tasks on the worker that are charged with a crash. If two of them ran together, a further crash could not
+// be attributed to either.
 std::int64_t flow_cell::count_charged(const cell_worker& w) const
 {
-    return std::count_if(w.ledger.begin(), w.ledger.end(), [this](const auto& held) {
-        const auto found = jobs_.find(held.first.job);
-        flow_task* const task = found == jobs_.end() ? nullptr : found->second->find_task(held.first);
+    return std::count_if(w.ledger.begin(), w.ledger.end(), [this](const auto& item) {
+        const auto found = jobs_.find(item.first.job);
+        flow_task* const task = found == jobs_.end() ? nullptr : found->second->find_task(item.first);
         return task != nullptr && !charged_rows(task->crash_rows()).empty();
     });
 }
 
-// Of work that ends, one task of a job begins alone at a time: the first shows enough.
+// Returns whether a dedicated run of the job has not settled yet. Of a job's tasks that are not lasting, only one
+// starts on a dedicated worker at a time, as the first shows whether the job crashes workers.
 bool flow_cell::has_unsettled_dedicated_run(instant now, const flow_job& job)
 {
-    return std::any_of(workers_.begin(), workers_.end(), [&](const auto& named) {
-        const cell_worker& w = named.second;
+    return std::any_of(workers_.begin(), workers_.end(), [&](const auto& item) {
+        const cell_worker& w = item.second;
         return is_dedicated(now, w) && w.dedicated_to->job == job.id() && !is_settled_on(now, w);
     });
 }
 
+// Returns the worker that is dedicated to the task; null when none is.
 flow_cell::cell_worker* flow_cell::find_dedicated(instant now, const flow_task_id& task)
 {
-    const auto at = std::find_if(workers_.begin(), workers_.end(), [&](const auto& named) {
-        return is_dedicated(now, named.second) && *named.second.dedicated_to == task;
+    const auto at = std::find_if(workers_.begin(), workers_.end(), [&](const auto& item) {
+        return is_dedicated(now, item.second) && *item.second.dedicated_to == task;
     });
     return at == workers_.end() ? nullptr : &at->second;
 }
 
-// Of the workers that will do, the one where least would be lost.
+// Returns the worker to dedicate: of those that can run the task, the one with the fewest lasting runs, and then with
+// the fewest runs.
 flow_cell::cell_worker* flow_cell::choose_to_dedicate(instant now, const flow_job& job, const flow_stage& stage)
 {
-    const auto value = [](const cell_worker& w) {
+    const auto eviction_cost = [](const cell_worker& w) {
         const auto lasting =
-            std::count_if(w.ledger.begin(), w.ledger.end(), [](const auto& held) { return held.second.lasting; });
+            std::count_if(w.ledger.begin(), w.ledger.end(), [](const auto& item) { return item.second.lasting; });
         return std::pair(lasting, w.ledger.size());
     };
     const flow_step& step = job.step(stage);
@@ -268,14 +288,15 @@
                             w.listing.service == job.row().service_name && has_label(w.listing.labels, step.label) &&
                             has_room(option_of(now, w), step) &&
                             (step.per_worker_most == 0 || count_stage_runs(w, job, stage) < step.per_worker_most);
-        if (usable && (best == nullptr || value(w) < value(*best))) {
+        if (usable && (best == nullptr || eviction_cost(w) < eviction_cost(*best))) {
             best = &w;
         }
     }
     return best;
 }
 
-// A worker to itself, once nothing has been started there for a while; null until then.
+// Returns a worker dedicated to the task once all runs there have settled. Until then returns null, while the worker
+// accepts no other tasks.
 flow_cell::cell_worker* flow_cell::choose_dedicated(instant now, const flow_job& job, const flow_stage& stage,
                                                     const flow_task_id& id)
 {
@@ -295,27 +316,31 @@
     return ready ? w : nullptr;
 }
 
-// Where too many are kept for others already, a task that lasts is missed the sooner: it starts beside others, and a
-// crash is not charged to it.
+// Returns whether the task has to run on a dedicated worker. A lasting task is missed sooner than other work, so it
+// does not wait when more than the permitted share of workers is dedicated to other tasks. It then starts beside other
+// tasks, and a crash is not charged to it.
 bool flow_cell::needs_dedicated_worker(instant now, const flow_step& step, const flow_task& task) const
 {
     if (!task.may_crash_workers() || !step.lasting) {
         return task.may_crash_workers();
     }
-    const auto kept_for_others = std::count_if(workers_.begin(), workers_.end(), [&](const auto& named) {
-        const cell_worker& w = named.second;
+    const auto dedicated_to_others = std::count_if(workers_.begin(), workers_.end(), [&](const auto& item) {
+        const cell_worker& w = item.second;
         const auto found = is_dedicated(now, w) ? jobs_.find(w.dedicated_to->job) : jobs_.end();
         return found != jobs_.end() && found->second->find_task(*w.dedicated_to) != &task;
     });
-    return kept_for_others < static_cast<std::int64_t>(kept_share_most * static_cast<double>(workers_.size())) + 1;
+    return dedicated_to_others < static_cast<std::int64_t>(kept_share_most * static_cast<double>(workers_.size())) + 1;
 }
 
-// The moment of a crash is known the better the more often the worker is asked.
+// Returns whether the worker is polled at shorter intervals. Frequent polling determines the time of a crash more
+// precisely.
 bool flow_cell::needs_frequent_polling(instant now, const cell_worker& w)
 {
     return is_dedicated(now, w) && !is_settled_on(now, w);
 }
 
+// Extends the dedication to the time that the task has to run alone, which depends on the age of its longest run
+// before a crash.
 void flow_cell::begin_dedicated_run(instant now, cell_worker& w, const flow_task& task)
 {
     w.dedicated_until = now + time_alone(longest_age(task.crash_rows()));
--- a/src/flow_cell_placing.cpp
+++ b/src/flow_cell_placing.cpp
@@ -1,4 +1,5 @@
-// Which tasks are started next, and where.
+// Placement: the order in which ready tasks are started, the worker that each of them gets, and the restart of runs
+// that have fallen behind.
 #include <algorithm>
 #include <cmath>
 
@@ -12,10 +13,11 @@
 
 namespace {
 
-constexpr double apart_rack_cost = 3.0; // a gang over two racks takes two to three times as long
+constexpr double other_rack_cost = 3.0; // a gang that spans two racks takes two to three times as long
 
 } // namespace
 
+// Places ready tasks if an event has requested it, and commits the job rows that are due.
 void flow_cell::run_deferred_work(instant now)
 {
     if (placement_scheduled_) {
@@ -29,6 +31,7 @@
     }
 }
 
+// Updates the job's entry in the queue of jobs with ready tasks, which is ordered by urgency.
 void flow_cell::index_ready(flow_job& job)
 {
     const bool any =
@@ -42,6 +45,7 @@
     }
 }
 
+// Removes the job from the queue of jobs with ready tasks.
 void flow_cell::drop_ready(const job_id& job)
 {
     const auto at = ready_keys_.find(job);
@@ -51,7 +55,7 @@
     }
 }
 
-// Some have become late while they waited.
+// Recomputes the urgency of all waiting jobs, since jobs become late while they wait.
 void flow_cell::index_ready_again()
 {
     const std::set<ready_key> waiting = ready_;
@@ -63,13 +67,15 @@
     }
 }
 
+// Places the ready tasks of all jobs, the most urgent job first.
 void flow_cell::place_ready(instant now)
 {
     if (role_ != role::owning || stopping_ || !may_send_orders(now)) {
         return;
     }
-    // An entry that owns nothing looks at the list seldom: what it knows when it takes a cell over may be so old that
-    // it would start tasks on workers that have said long ago that they leave. The entry asks for the list at once.
+    // An entry that owns no cell reads the list of workers rarely. Its list may be so old at a takeover that it would
+    // start tasks on workers that have since begun to drain. It requests the list at once and places nothing until the
+    // list has arrived or list_wait_timeout has passed.
     if (!workers_listed_since_takeover_ && now - taken_at_ < list_wait_timeout) {
         return;
     }
@@ -85,7 +91,8 @@
             continue;
         }
         flow_job& job = *found->second;
-        // What two owners counted may reach the limit only when their rows are merged; no run ends then to show it.
+        // Failures that two owners counted separately may reach the limit only when their rows are merged. No run ends
+        // at that moment, so the limit is checked here.
         if (unreconciled_jobs_.count(id) == 0 && has_exhausted_task(job)) {
             end_job(now, job, flow_state::failed);
             continue;
@@ -99,12 +106,14 @@
     }
 }
 
+// Returns whether tasks may be started on the worker at all, whatever room it has.
 bool flow_cell::is_schedulable(instant now, const cell_worker& w)
 {
     return w.listed && w.named && w.fenced && !w.listing.draining && w.silent == 0 && !w.published_silent &&
            w.untracked_runs == 0 && w.reading.has_value() && now >= w.no_starts_until;
 }
 
+// Describes the worker to the cost functions of placement.
 placement_candidate flow_cell::option_of(instant now, const cell_worker& w) const
 {
     placement_candidate option;
@@ -121,19 +130,21 @@
     return option;
 }
 
-// Tasks of the stage that run there or are about to.
+// Counts the tasks of the stage in the worker's ledger: those that run there and those whose start is pending.
 std::int32_t flow_cell::count_stage_runs(const cell_worker& w, const flow_job& job, const flow_stage& stage)
 {
-    std::int32_t beside = 0;
+    std::int32_t runs = 0;
     for (auto at = w.ledger.lower_bound(job.task_id(stage, 0));
          at != w.ledger.end() && at->first.job == job.id() && at->first.occurrence == stage.occurrence &&
          at->first.step == stage.step;
          ++at) {
-        ++beside;
+        ++runs;
     }
-    return beside;
+    return runs;
 }
 
+// Returns the worker with the lowest placement cost for the task; null when none will do. A filling task accepts a
+// worker with excess interference only after it has waited for `patience`.
 flow_cell::cell_worker* flow_cell::choose_worker(instant now, const flow_job& job, const flow_stage& stage,
                                                  const flow_task& task, const rack_id& near, duration patience)
 {
@@ -157,8 +168,8 @@
             interference = filling_interference(w, image, static_cast<double>(step.need.cpu_millis) / room);
             const bool crowded = available_for_filling(option) - step.need.cpu_millis <
                                  -static_cast<std::int64_t>(fill_overcommit * room);
-            // Left waiting for a place where it is borne and gets its processors: elsewhere it would be slowed to
-            // nothing, or slow down others that were there first.
+            // The filling task waits for a worker where serving tasks tolerate it and processors are unused. Elsewhere
+            // it would be throttled to zero, or slow down filling tasks that started earlier.
             if ((interference.excess_pressure > 0 || crowded) && now - task.ready_since < patience &&
                 !(step.gang && spans_cells(stage))) {
                 continue;
@@ -176,8 +187,8 @@
             continue;
         }
         double cost = placement_cost(option, step, interference);
-        cost += near.valid() && near != w.listing.rack ? apart_rack_cost : 0.0;
-        cost += task.avoided_worker == id ? 2.0 : 0.0; // as much as a run that takes three times as long
+        cost += near.valid() && near != w.listing.rack ? other_rack_cost : 0.0;
+        cost += task.avoided_worker == id ? 2.0 : 0.0; // the cost of a run that takes three times as long
         cost += task.crashes.empty() ? 0.0 : 2.0 * static_cast<double>(count_charged(w));
         if (best == nullptr || cost < best_cost) {
             best = &w;
@@ -189,8 +200,8 @@
 
 namespace {
 
-// Tasks that have waited for a worker for so long that one is reserved.
-std::int32_t waiting_long(instant now, const flow_stage& stage)
+// Counts the ready tasks that have waited for reserve_after, after which a worker is reserved.
+std::int32_t count_long_waiting(instant now, const flow_stage& stage)
 {
     return static_cast<std::int32_t>(
         std::count_if(stage.tasks.begin(), stage.tasks.end(), [now](const flow_task& task) {
@@ -200,27 +211,29 @@
 
 } // namespace
 
-// Failure: serving tasks bear no more filling work anywhere, though much of the site is free. Symptom: a step that
-// opens then has nothing running for all of its patience, and again in each cell that its tasks go to. One task of it
-// gets on at whatever pace is borne.
+// Returns how long a filling task waits for a worker without excess interference. If serving tasks tolerate no more
+// filling work on any worker although much of the data centre is unused, a step would run nothing for the whole wait,
+// and again in each cell that its tasks move to. In that case the first task of the step waits only
+// fill_interference_wait_idle and then runs at whatever pace is tolerated.
 duration flow_cell::patience_of(instant now, const flow_job& job, const flow_task& task) const
 {
-    const bool missed = now - task.ready_since >= fill_interference_wait_idle && !job.running() &&
-                        hooks_.non_filling_cpu_share(now, job.row().service_name) < idle_site_use;
-    return missed ? fill_interference_wait_idle : fill_interference_wait;
+    const bool use_idle_limit = now - task.ready_since >= fill_interference_wait_idle && !job.running() &&
+                                hooks_.non_filling_cpu_share(now, job.row().service_name) < idle_site_use;
+    return use_idle_limit ? fill_interference_wait_idle : fill_interference_wait;
 }
 
-// True when every ready task of the stage has found a worker.
+// Places the ready tasks of the stage, and the members of a gang only all at once. Returns whether every ready task
+// has got a worker.
 bool flow_cell::place_stage(instant now, flow_job& job, flow_stage& stage)
 {
     const flow_step& step = job.step(stage);
     std::vector<std::pair<std::size_t, cell_worker*>> chosen;
     run_number gang_run;
-    const bool members_left = std::any_of(stage.tasks.begin(), stage.tasks.end(), [](const flow_task& t) {
+    const bool earlier_run_remains = std::any_of(stage.tasks.begin(), stage.tasks.end(), [](const flow_task& t) {
         return t.stage != flow_task_state::ready && !t.runs.empty();
     });
-    if (step.gang && members_left) {
-        return false; // of an earlier run, not all of which have ended
+    if (step.gang && earlier_run_remains) {
+        return false; // members of an earlier run of the gang have not all ended
     }
     if (step.gang && spans_cells(stage) && (job.dirty() || !can_join_gang(job, stage))) {
         return false;
@@ -232,14 +245,14 @@
         }
         const rack_id near = step.same_rack && !chosen.empty() ? chosen.front().second->listing.rack : rack_id();
         const duration patience = step.filling && chosen.empty() ? patience_of(now, job, task) : fill_interference_wait;
-        const bool alone = needs_dedicated_worker(now, step, task);
-        cell_worker* const w = alone ? choose_dedicated(now, job, stage, job.task_id(stage, i))
-                                     : choose_worker(now, job, stage, task, near, patience);
-        if (w == nullptr && alone && !step.gang) {
+        const bool dedicated = needs_dedicated_worker(now, step, task);
+        cell_worker* const w = dedicated ? choose_dedicated(now, job, stage, job.task_id(stage, i))
+                                         : choose_worker(now, job, stage, task, near, patience);
+        if (w == nullptr && dedicated && !step.gang) {
             continue;
         }
         if (w == nullptr) {
-            const std::int32_t reserving = step.lasting && !step.gang ? waiting_long(now, stage) : 0;
+            const std::int32_t reserving = step.lasting && !step.gang ? count_long_waiting(now, stage) : 0;
             for (std::int32_t n = 0; n < reserving; ++n) {
                 reserve_worker(now, job, stage);
             }
@@ -269,7 +282,8 @@
     return all;
 }
 
-// The run is in the worker's ledger already.
+// Starts a run that is already in the worker's ledger. If starts of the step are persisted, or the task has the worker
+// to itself, the start is recorded before it is sent.
 void flow_cell::start_on(instant now, flow_job& job, flow_stage& stage, std::size_t index, cell_worker& w,
                          run_number run)
 {
@@ -280,7 +294,7 @@
     ++stats_.starts;
     const flow_step& step = job.step(stage);
     if (step.lasting) {
-        w.reserved_until = now; // another one that waits reserves it anew if there is room for two
+        w.reserved_until = now; // another waiting task reserves the worker again if it has room for both
     }
     const task_kind kind = step.lasting   ? task_kind::lasting
                            : step.filling ? task_kind::filling
@@ -302,15 +316,16 @@
     send_start(now, w.listing.worker, id, run, 0);
 }
 
-// A worker that has turned slow, or lets its tasks stand still, keeps answering: its runs end late or never, and with
-// them the step. A run that has fallen behind gets a copy elsewhere if the step allows it; else it is stopped and
-// starts again elsewhere, at its checkpoint if it has one, once its end is certain. Twice at most: a task that is
-// slower everywhere than was estimated must not be started for ever.
+// Replaces a run that has fallen behind. A worker that has become slow, or whose tasks make no progress, still
+// answers, so its runs end late or never and delay the step. If the step is speculative, a copy starts on another
+// worker. Otherwise the run is stopped, and once its end is certain, the task starts on another worker from its
+// checkpoint, if there is one. A task is replaced at most twice, since a task that is slower than estimated on every
+// worker must not be restarted for ever.
 void flow_cell::mitigate_straggler(instant now, cell_worker& w, flow_job& job, ledger_run& run,
                                    const reported_run& seen)
 {
-    constexpr std::int32_t restarts_most = 2;
-    constexpr int pace_free = 50; // percent; below, its pace explains why it does not get on
+    constexpr std::int32_t max_restarts = 2;
+    constexpr int unthrottled_pace = 50; // percent; below it, the pace explains the lack of progress
     flow_stage& stage = *job.find_stage(seen.task);
     flow_task& task = *job.find_task(seen.task);
     const flow_step& step = job.step(stage);
@@ -318,12 +333,12 @@
         return;
     }
     const auto paced = w.paced.find(seen.task);
-    run.progress.note(now, seen.progress_percent, paced != w.paced.end() && paced->second < pace_free);
+    run.progress.note(now, seen.progress_percent, paced != w.paced.end() && paced->second < unthrottled_pace);
     const bool stalled = run.progress.stalled(now);
-    // How fast filling work gets on depends on what others leave unused.
+    // The speed of filling work depends on the processor time that other tasks leave unused.
     const bool slow = !step.filling && run.progress.slower_than_restart(now, step.estimate);
-    const bool alone = task.runs.size() == 1 && !task.runs.front().stopping;
-    if ((!stalled && !slow) || !alone || task.restarts >= restarts_most || job.cancelled() || job.ended()) {
+    const bool only_run = task.runs.size() == 1 && !task.runs.front().stopping;
+    if ((!stalled && !slow) || !only_run || task.restarts >= max_restarts || job.cancelled() || job.ended()) {
         return;
     }
     if (!run.behind) {
@@ -331,8 +346,8 @@
         distrust(now, w, 1);
     }
     task.avoided_worker = w.listing.worker;
-    cell_worker* const better = choose_worker(now, job, stage, task);
-    if (better == nullptr || better == &w) {
+    cell_worker* const destination = choose_worker(now, job, stage, task);
+    if (destination == nullptr || destination == &w) {
         return;
     }
     ++task.restarts;
@@ -344,17 +359,18 @@
                  {"percent", std::to_string(seen.progress_percent)},
                  {"estimate_ms", std::to_string(step.estimate.count() / 1000)},
                  {"stalled", stalled ? "yes" : "no"},
-                 {"copy_on", step.speculative ? better->listing.worker.str() : "none"}});
+                 {"copy_on", step.speculative ? destination->listing.worker.str() : "none"}});
     if (!step.speculative) {
         stop_run_once(now, task.runs.front(), seen.task);
         return;
     }
     const run_number copy = job.next_run(task, epoch_);
     task.ready_since = now;
-    ledger_add(*better, step, seen.task, copy);
-    start_on(now, job, stage, static_cast<std::size_t>(seen.task.index), *better, copy);
+    ledger_add(*destination, step, seen.task, copy);
+    start_on(now, job, stage, static_cast<std::size_t>(seen.task.index), *destination, copy);
 }
 
+// Opens the stages of timed jobs whose time has come.
 void flow_cell::open_due_stages(instant now)
 {
     const wall_time wall = edges_.wall();
--- a/src/flow_cell_runs.cpp
+++ b/src/flow_cell_runs.cpp
@@ -1,4 +1,5 @@
-// Runs of tasks: starting, stopping, what becomes of a task when a run ends, and the ledgers of workers.
+// Runs of tasks: starting and stopping them, requeueing a task when its run ends, the ledgers of workers, the rows of
+// jobs, and the news that the owner of a cell sends to its peers.
 #include <algorithm>
 
 #include "flow_cell_p.h"
@@ -23,6 +24,7 @@
 
 // --- ledgers ---
 
+// Adds a run to the worker's ledger, or replaces the run number if the task is in it already.
 void flow_cell::ledger_add(cell_worker& w, const flow_step& step, const flow_task_id& task, run_number run)
 {
     const ledger_run entry{run, step.need, step.filling, step.lasting, step.image, image_of(step), step.tail_target};
@@ -34,6 +36,7 @@
     adjust_usage(w, task.job, entry, 1);
 }
 
+// Removes the run from the worker's ledger if the ledger has this run of the task.
 void flow_cell::ledger_remove(cell_worker& w, const flow_task_id& task, run_number run)
 {
     const auto at = w.ledger.find(task);
@@ -48,36 +51,39 @@
     }
 }
 
-// Adds a run to what is counted of its worker, or takes it off again: `change` is 1 or -1.
+// Adds a run to the resource use of its worker, or removes it: `change` is 1 or -1.
 void flow_cell::adjust_usage(cell_worker& w, const job_id& job, const ledger_run& run, int change)
 {
-    resources counted{run.need.cpu_millis * change, run.need.memory_mib * change, run.need.accelerators * change};
-    w.lasting_cpu += run.lasting ? counted.cpu_millis : 0;
-    w.lasting_memory += run.lasting ? counted.memory_mib : 0;
+    resources delta{run.need.cpu_millis * change, run.need.memory_mib * change, run.need.accelerators * change};
+    w.lasting_cpu += run.lasting ? delta.cpu_millis : 0;
+    w.lasting_memory += run.lasting ? delta.memory_mib : 0;
     w.serving += run.tail_target > duration(0) ? change : 0;
     if (run.filling) {
-        w.filling_cpu += counted.cpu_millis;
+        w.filling_cpu += delta.cpu_millis;
         w.filling_task_count += change;
-        counted.cpu_millis = 0;
+        delta.cpu_millis = 0;
     }
-    w.held = w.held + counted;
+    w.held = w.held + delta;
     adjust_image_usage(w, job, run, change);
 }
 
+// Finds the worker, job, task and live run that belong to a run; each is null if it is unknown.
 flow_cell::run_lookup flow_cell::look_up_run(const worker_id& id, const flow_task_id& task, run_number run)
 {
-    run_lookup parts;
+    run_lookup lookup;
     const auto at = workers_.find(id);
     const auto found = jobs_.find(task.job);
-    parts.worker = at == workers_.end() ? nullptr : &at->second;
-    parts.job = found == jobs_.end() ? nullptr : found->second.get();
-    parts.task = parts.job == nullptr ? nullptr : parts.job->find_task(task);
-    parts.live = parts.task == nullptr ? nullptr : find_run(*parts.task, id, run);
-    return parts;
+    lookup.worker = at == workers_.end() ? nullptr : &at->second;
+    lookup.job = found == jobs_.end() ? nullptr : found->second.get();
+    lookup.task = lookup.job == nullptr ? nullptr : lookup.job->find_task(task);
+    lookup.live = lookup.task == nullptr ? nullptr : find_run(*lookup.task, id, run);
+    return lookup;
 }
 
 // --- starts ---
 
+// Sends the start of a placed run to its worker, or withdraws it if the run must not start any more. `tries` counts the
+// earlier attempts.
 void flow_cell::send_start(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries)
 {
     const auto [worker, job, t, live] = look_up_run(id, task, run);
@@ -92,7 +98,7 @@
         send_stop(now, id, task, run, 0);
         return;
     }
-    // Its room may have shrunk while the start waited, for a write or for an answer.
+    // The worker's capacity may have shrunk while the start waited for a write or an answer.
     if (!fits(w.held, w.listing.room)) {
         withdraw_start(now, w, *job, task, run, tries);
         return;
@@ -111,16 +117,19 @@
         live->lease_until = lease_end(w, now).value_or(worker_time{});
         note_lease(w, now);
     }
-    // A try that is sent again carries the first one's lease: else a silent worker's would never certainly end.
+    // A repeated start carries the lease of the first one. Otherwise the leases of a worker that does not answer would
+    // be extended without end.
     order.lease_until = live->lease_until;
-    edges_.order(place_of(w), order, start_timeout,
-                 [this, id, task, run, tries, life = ownership_generation_](instant then, const order_answer& answer) {
-                     if (life == ownership_generation_) {
-                         on_started(then, id, task, run, tries, answer);
-                     }
-                 });
+    edges_.order(
+        place_of(w), order, start_timeout,
+        [this, id, task, run, tries, generation = ownership_generation_](instant then, const order_answer& answer) {
+            if (generation == ownership_generation_) {
+                on_started(then, id, task, run, tries, answer);
+            }
+        });
 }
 
+// Handles the answer to a start.
 void flow_cell::on_started(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries,
                            const order_answer& answer)
 {
@@ -135,7 +144,7 @@
         w.last_answer = now;
     }
     if (live == nullptr) {
-        return; // its end is known already
+        return; // the end of the run has been processed already
     }
     if (answer.result != order_result::accepted) {
         edges_.note(log_level::info, "run", "start_not_accepted",
@@ -160,13 +169,13 @@
             send_stop(now, id, task, run, 0);
             return;
         }
-        // A run starts at full pace: left so until the next exchange, a batch of them would drive up the tails beside
-        // it.
+        // A run starts at full pace. Without new paces, a batch of filling runs would raise the tails of the serving
+        // tasks beside them until the next exchange.
         set_paces(now, w);
         return;
     case order_result::stale_run:
-        // It ran and has ended, or was stopped, perhaps before it came: the next exchange lists the end, by which the
-        // job has begun. If it does not, the run is missing.
+        // The run has ended, or was stopped, possibly before the start arrived. The next exchange lists the end, which
+        // also shows that the job has started. If it lists no end, the run is treated as vanished.
         live->confirmed = true;
         live->sent = now;
         return;
@@ -174,8 +183,8 @@
         if (now - live->sent > gang_start_timeout && job->step(*job->find_stage(task)).gang) {
             stop_gang(now, *job, *job->find_stage(task), run);
         }
-        edges_.after(start_retry, [this, id, task, run, tries, life = ownership_generation_](instant then) {
-            if (life == ownership_generation_) {
+        edges_.after(start_retry, [this, id, task, run, tries, generation = ownership_generation_](instant then) {
+            if (generation == ownership_generation_) {
                 send_start(then, id, task, run, tries + 1);
             }
         });
@@ -196,7 +205,8 @@
     withdraw_start(now, w, *job, task, run, tries);
 }
 
-// A worker has taken the run. Only then the job has started: a start that is refused, or lost, leaves it waiting.
+// Handles a worker's acceptance of a run. The job counts as started only now: a start that is refused or lost leaves
+// the job waiting.
 void flow_cell::confirm_start(instant now, flow_job& job, live_run& live)
 {
     live.confirmed = true;
@@ -207,7 +217,7 @@
     }
 }
 
-// A start that was not accepted, or must not be sent any more.
+// Undoes a start that was not accepted or must not be sent any more.
 void flow_cell::withdraw_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
                                int tries)
 {
@@ -215,7 +225,7 @@
         stop_gang(now, job, *job.find_stage(task), run);
     }
     if (tries > 0) {
-        send_stop(now, w.listing.worker, task, run, 0); // an earlier try may have been carried out
+        send_stop(now, w.listing.worker, task, run, 0); // the worker may have executed an earlier attempt
         return;
     }
     drop_run(now, w, task, run);
@@ -224,6 +234,8 @@
 
 // --- stops ---
 
+// Sends a stop to a worker and repeats it until the worker answers; a run that is not known here is stopped with at
+// most five attempts.
 void flow_cell::send_stop(instant now, const worker_id& id, const flow_task_id& task, run_number run, int tries)
 {
     const auto at = workers_.find(id);
@@ -231,39 +243,42 @@
         return;
     }
     if (!may_send_orders(now)) {
-        // An owner that has not renewed for long is silent, but may come back before the run's lease ends: a stop that
-        // was dropped meanwhile would leave a cancelled task running.
+        // An owner that has not renewed its row for long sends no orders, but may renew again before the run's lease
+        // ends. If the stop were dropped meanwhile, a cancelled task would go on running.
         stop_again(id, task, run, tries);
         return;
     }
-    edges_.order(place_of(at->second), stop_run{task, run, epoch_}, stop_timeout,
-                 [this, id, task, run, tries, life = ownership_generation_](instant then, const order_answer& answer) {
-                     if (life != ownership_generation_) {
-                         return;
-                     }
-                     const run_lookup parts = look_up_run(id, task, run);
-                     if (parts.worker == nullptr || handle_fatal_result(then, *parts.worker, answer.result)) {
-                         return;
-                     }
-                     live_run* const live = parts.live;
-                     if (answer.result == order_result::no_answer || answer.result == order_result::unhealthy) {
-                         if (live != nullptr || tries <= 3) {
-                             stop_again(id, task, run, tries + 1);
-                         }
-                         return;
-                     }
-                     // It ends within moments, or it was never there and never will be: an exchange sent from now on
-                     // tells. One sent before may have been answered before the start came: taken for gone by it, a run
-                     // that takes its time to stop would leave its room to others, and the worker be overfilled.
-                     if (live != nullptr) {
-                         live->confirmed = true;
-                         live->stopping = true;
-                         live->sent = then - missing_after;
-                     }
-                 });
-}
-
-// The members of a gang wait for each other on their workers; when one cannot come, the others must not wait in vain.
+    edges_.order(
+        place_of(at->second), stop_run{task, run, epoch_}, stop_timeout,
+        [this, id, task, run, tries, generation = ownership_generation_](instant then, const order_answer& answer) {
+            if (generation != ownership_generation_) {
+                return;
+            }
+            const run_lookup lookup = look_up_run(id, task, run);
+            if (lookup.worker == nullptr || handle_fatal_result(then, *lookup.worker, answer.result)) {
+                return;
+            }
+            live_run* const live = lookup.live;
+            if (answer.result == order_result::no_answer || answer.result == order_result::unhealthy) {
+                if (live != nullptr || tries <= 3) {
+                    stop_again(id, task, run, tries + 1);
+                }
+                return;
+            }
+            // The run ends within moments, or it never arrived and never will; an exchange sent from now on
+            // shows which. An exchange sent earlier may have been answered before the start arrived. If the
+            // run were dropped because of that answer, its resources would be given to other tasks while it
+            // is still stopping, and the worker would be overcommitted.
+            if (live != nullptr) {
+                live->confirmed = true;
+                live->stopping = true;
+                live->sent = then - missing_after;
+            }
+        });
+}
+
+// Stops all members of a gang's run. The members wait for each other on their workers, so when one of them cannot
+// start, the others are stopped.
 void flow_cell::stop_gang(instant now, flow_job& job, flow_stage& stage, run_number run)
 {
     for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
@@ -275,15 +290,17 @@
     }
 }
 
+// Repeats a stop after stop_retry.
 void flow_cell::stop_again(const worker_id& id, const flow_task_id& task, run_number run, int tries)
 {
-    edges_.after(stop_retry, [this, id, task, run, tries, life = ownership_generation_](instant then) {
-        if (life == ownership_generation_) {
+    edges_.after(stop_retry, [this, id, task, run, tries, generation = ownership_generation_](instant then) {
+        if (generation == ownership_generation_) {
             send_stop(then, id, task, run, tries);
         }
     });
 }
 
+// Takes the ready tasks of a cancelled or ended job out of the queue and stops all its runs.
 void flow_cell::stop_job_runs(instant now, flow_job& job)
 {
     for (flow_stage& stage : job.stages()) {
@@ -299,6 +316,7 @@
     index_ready(job);
 }
 
+// Drops the runs of the task whose start has not been sent, and stops the others.
 void flow_cell::stop_task_runs(instant now, flow_task& task, const flow_task_id& id)
 {
     drop_unsent(now, task, id);
@@ -307,6 +325,7 @@
     }
 }
 
+// Sends a stop unless the run is being stopped already.
 void flow_cell::stop_run_once(instant now, live_run& live, const flow_task_id& id)
 {
     if (!live.stopping) {
@@ -315,9 +334,9 @@
     }
 }
 
-// --- what becomes of a task ---
+// --- ends of runs, tasks and jobs ---
 
-// The run is certainly not going on any more.
+// Removes a run that has certainly ended from its worker and its task, and requeues the task if it is not done.
 void flow_cell::drop_run(instant now, cell_worker& w, const flow_task_id& task, run_number run)
 {
     ledger_remove(w, task, run);
@@ -344,10 +363,11 @@
         requeue(now, job, task);
     }
     if (job.cancelled() || job.ended()) {
-        mark_job_dirty(now, job, false); // it may be the last run, after which the job is put away
+        mark_job_dirty(now, job, false); // the job's rows are removed after its last run
     }
 }
 
+// Makes a task without runs ready again, or moves it to the cell that it has been assigned to.
 void flow_cell::requeue(instant now, flow_job& job, const flow_task_id& task)
 {
     flow_stage* const stage = job.find_stage(task);
@@ -366,6 +386,7 @@
     index_ready(job);
 }
 
+// Handles a completed task: stops its other runs, and ends the job or opens the next stages if its stage is complete.
 void flow_cell::after_done(instant now, flow_job& job, const flow_task_id& task)
 {
     flow_stage* const stage = job.find_stage(task);
@@ -382,6 +403,7 @@
     mark_job_dirty(now, job, stage_done);
 }
 
+// Returns whether the task has crashed too many workers or failed as often as its queue permits.
 bool flow_cell::out_of_attempts(const flow_job& job, const flow_task& task) const
 {
     if (task.stage == flow_task_state::done) {
@@ -394,8 +416,8 @@
         return false;
     }
     const flow_queue* const queue = hooks_.queue(queue_id(job.row().queue));
-    const std::int32_t most = queue != nullptr ? queue->failures_most : job.row().failures_most;
-    return static_cast<std::int32_t>(task.failed_runs.size()) >= most;
+    const std::int32_t max_failures = queue != nullptr ? queue->failures_most : job.row().failures_most;
+    return static_cast<std::int32_t>(task.failed_runs.size()) >= max_failures;
 }
 
 bool flow_cell::has_exhausted_task(const flow_job& job) const
@@ -406,6 +428,7 @@
     });
 }
 
+// Records the outcome of the job and stops its runs; only in the job's home cell.
 void flow_cell::end_job(instant now, flow_job& job, flow_state outcome)
 {
     if (job.ended() || !job.is_home_cell()) {
@@ -431,41 +454,42 @@
     return found == jobs_.end() ? nullptr : found->second.get();
 }
 
-// What the rows of one job for this cell tell together; null when none says what was asked.
+// Builds a job from its rows for this cell; null when none of them contains the job's specification, or when this
+// cell's own row cannot be decoded.
 std::unique_ptr<flow_job> flow_cell::read_job(const job_id& id, const std::vector<store_row>& rows) const
 {
-    std::vector<std::pair<job_row_name, wire::flow_job_row>> told;
-    std::unique_ptr<flow_job> made;
+    std::vector<std::pair<job_row_name, wire::flow_job_row>> rows_by_writer;
+    std::unique_ptr<flow_job> new_job;
     row_version accepted_at;
     for (const store_row& row : rows) {
         auto decoded = read_flow_row<wire::flow_job_row>(edges_, row);
         const job_row_name name = parse_job_row_key(row.key);
         if (!decoded && name.is_own()) {
-            return nullptr; // what is done would be started again
+            return nullptr; // without this cell's own row, tasks that are done would be started again
         }
         if (!decoded) {
             continue;
         }
-        const bool whole = !decoded->steps.empty();
-        if (whole && (made == nullptr || name.is_own())) {
-            made = std::make_unique<flow_job>(id, id_, *decoded, name.is_own() ? row.version : row_version(0));
+        const bool has_spec = !decoded->steps.empty();
+        if (has_spec && (new_job == nullptr || name.is_own())) {
+            new_job = std::make_unique<flow_job>(id, id_, *decoded, name.is_own() ? row.version : row_version(0));
         }
         accepted_at = name == accepted_row(id_, id) ? row.version : accepted_at;
-        told.emplace_back(name, std::move(*decoded));
+        rows_by_writer.emplace_back(name, std::move(*decoded));
     }
-    for (const auto& [name, row] : told) {
-        if (made && !name.is_own()) {
-            made->merge(instant{}, row, name.writer_kind());
-            made->note_writer(name.writer);
+    for (const auto& [name, row] : rows_by_writer) {
+        if (new_job && !name.is_own()) {
+            new_job->merge(instant{}, row, name.writer_kind());
+            new_job->note_writer(name.writer);
         }
     }
-    if (made) {
-        made->note_accepted(accepted_at);
+    if (new_job) {
+        new_job->note_accepted(accepted_at);
     }
-    return made;
+    return new_job;
 }
 
-// All rows of one job for this cell, read from the table just now.
+// Processes all rows of one job for this cell as they were just read from the table.
 void flow_cell::process_job_rows(instant now, const job_id& id, const std::vector<store_row>& rows)
 {
     if (jobs_.count(id) != 0) {
@@ -477,18 +501,19 @@
         }
         return;
     }
-    std::unique_ptr<flow_job> made = read_job(id, rows);
-    if (made && made->ended()) {
-        // Read again while they are removed, its rows may show that it was accepted and no longer that it has ended.
+    std::unique_ptr<flow_job> new_job = read_job(id, rows);
+    if (new_job && new_job->ended()) {
+        // The rows may be read again during their removal, and may then show that the job was accepted but not that it
+        // has ended.
         recently_ended_jobs_[id] = now;
         schedule_row_removal(now, id, keys_of(rows));
     }
-    else if (made && recently_ended_jobs_.count(id) == 0) {
-        adopt_job(now, std::move(made));
+    else if (new_job && recently_ended_jobs_.count(id) == 0) {
+        adopt_job(now, std::move(new_job));
     }
 }
 
-// The rows of one job for this cell; null when the table could not be read.
+// Reads the rows of one job for this cell and passes them to `done`; null when the table could not be read.
 void flow_cell::read_rows(const job_id& job, std::function<void(instant, const std::vector<store_row>*)> done)
 {
     edges_.read(news_rows(id_, job), [this, job, done = std::move(done)](instant now, const store_page& news) {
@@ -504,22 +529,24 @@
     });
 }
 
-// Of a job that is not known here.
+// Processes a row of a job that this cell does not know.
 void flow_cell::on_new_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version)
 {
-    // What an entry tells may be older than what was read at the takeover: a job that is not known since has ended.
+    // News from an entry may be older than the rows that were read at the takeover. If such news is about an unknown
+    // job, the job has ended since.
     if (!accepts_job_news() || version <= takeover_scan_version_) {
         return;
     }
-    // A page read or a message sent before the job's last write still shows it going on: taken up again it would run
-    // anew, with its runs numbered from the first.
+    // A page or a message from before the job's last write still shows the job as running. If the job were added
+    // again, it would run a second time, with run numbers that start from the first.
     const bool accepted = name == accepted_row(id_, name.job);
     if (row.outcome != 0 || (accepted && recently_ended_jobs_.count(name.job) != 0)) {
         return;
     }
     if (!accepted) {
-        // Its writer may not know yet that the job has ended. A row that comes while the job's rows are read may have
-        // been written after they were: dropped, a task that it gives to this cell would be looked for by nobody.
+        // The writer of the row may not know yet that the job has ended, so the job's rows are read. A row that
+        // arrives during the read may have been written after the rows were read, so it is buffered. If it were
+        // dropped, no cell would run a task that it moves to this cell.
         const auto reading = job_reads_in_flight_.find(name.job);
         if (reading != job_reads_in_flight_.end()) {
             reading->second.told.push_back({name, row, version});
@@ -529,12 +556,13 @@
         }
         return;
     }
-    auto made = std::make_unique<flow_job>(name.job, id_, row, row_version(0));
-    made->note_writer(name.writer);
-    made->note_accepted(version);
-    adopt_job(now, std::move(made));
+    auto new_job = std::make_unique<flow_job>(name.job, id_, row, row_version(0));
+    new_job->note_writer(name.writer);
+    new_job->note_accepted(version);
+    adopt_job(now, std::move(new_job));
 }
 
+// Merges a row of a job into what this cell knows, and acts on a cancellation, an outcome or new tasks that it shows.
 void flow_cell::on_job_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version)
 {
     if (!owns()) {
@@ -550,7 +578,7 @@
     const bool was_cancelled = known.cancelled();
     const bool was_ended = known.ended();
     const bool was_dirty = known.dirty();
-    const std::int32_t waited = known.count_ready();
+    const std::int32_t ready_before = known.count_ready();
     known.merge(now, row, name.writer_kind());
     if (name.is_own()) {
         known.note_version(version);
@@ -558,11 +586,11 @@
     else {
         known.note_writer(name.writer);
     }
-    if (known.count_ready() > waited) {
+    if (known.count_ready() > ready_before) {
         edges_.note(log_level::info, "task", "arrived",
                     {{"job", job.str()},
                      {"cell", id_.str()},
-                     {"tasks", std::to_string(known.count_ready() - waited)},
+                     {"tasks", std::to_string(known.count_ready() - ready_before)},
                      {"version", std::to_string(version.value())}});
     }
     if (step_down_if_superseded(now, known)) {
@@ -574,7 +602,7 @@
         mark_job_dirty(now, known, true);
     }
     else if (!known.cancelled() && role_ == role::owning && known.open_stages(now, edges_.wall())) {
-        schedule_placement(); // another cell has ended the last task of a step
+        schedule_placement(); // another cell has completed the last task of a step
     }
     if (!known.cancelled() && !known.ended()) {
         index_ready(known);
@@ -586,12 +614,13 @@
         mark_job_dirty(now, known, true);
     }
     else if (known.dirty() && !was_dirty) {
-        mark_job_dirty(now, known, true); // a task has come here, or callers are to see that the job has started
+        mark_job_dirty(now, known, true); // a task has moved here, or callers have to see that the job has started
     }
 }
 
-// Only the owner of the job's cell says what has become of it, from what the owners of all cells have told: two that
-// each know a part could tell callers different ends.
+// Ends the job if all its tasks are done, or if one has no attempts left and the job is reconciled. Only the owner of
+// the job's home cell decides the outcome, from the reports of the owners of all cells. Two owners that each know a
+// part could report different outcomes to callers.
 void flow_cell::end_if_decided(instant now, flow_job& job)
 {
     if (role_ != role::owning || job.cancelled()) {
@@ -605,8 +634,9 @@
     }
 }
 
-// Only what is in the table: what this owner has decided since may never be written, if it has been followed. Told of a
-// task that was given away so, another cell would start it beside the follower.
+// Sends committed news about a job to the owners of other cells. News is sent only once it is in the table, since a
+// decision of an owner that has been superseded may never be written. If another cell were given a task by such a
+// decision, it would start the task although the new owner runs it too.
 void flow_cell::notify_other_cells(instant now, const committed_row& written, row_version version)
 {
     for (const cell_id& cell : written.told) {
@@ -614,7 +644,8 @@
     }
 }
 
-// Of a job whose tasks run in several cells, the one that it is bound to counts it.
+// Adds a job to the demand estimate of its service. A job whose tasks run in several cells is counted by its home cell
+// only.
 void flow_cell::note_demand(instant now, const flow_job& job)
 {
     if (!job.is_home_cell()) {
@@ -625,15 +656,16 @@
     demand_[job.row().service_name].note(now, age, batch_cpu_seconds(job));
 }
 
-// Also one nothing of which is left here to be done, if there is a row of this cell: it goes with the job's end.
-void flow_cell::adopt_job(instant now, std::unique_ptr<flow_job> made)
+// Adds a job to this cell. A job without remaining tasks here is added as well if it has a row of this cell, as the
+// row is removed when the job ends.
+void flow_cell::adopt_job(instant now, std::unique_ptr<flow_job> new_job)
 {
-    if (!made->involves_this_cell() && made->version() == row_version(0)) {
+    if (!new_job->involves_this_cell() && new_job->version() == row_version(0)) {
         return;
     }
-    const job_id id = made->id();
+    const job_id id = new_job->id();
     auto& job = jobs_[id];
-    job = std::move(made);
+    job = std::move(new_job);
     const wire::flow_job_row& row = job->row();
     note_demand(now, *job);
     if (job->timed()) {
@@ -653,7 +685,7 @@
     }
     adopt_stray_runs(now, *job);
     if (job->newest_epoch() < epoch_ && !all_workers_reconciled(now)) {
-        unreconciled_jobs_.insert(id); // the owner before may have heard of it first
+        unreconciled_jobs_.insert(id); // the previous owner may have started tasks of the job
     }
     if (job->cancelled()) {
         mark_job_dirty(now, *job, false);
@@ -667,15 +699,17 @@
     schedule_placement();
 }
 
+// Gives up the cell if a row of the job shows a later owner.
 bool flow_cell::step_down_if_superseded(instant now, const flow_job& job)
 {
     if (role_ != role::owning || job.newest_epoch() <= epoch_) {
         return false;
     }
-    lose_ownership(now, "job " + job.id().str() + " was given to a later owner");
+    lose_ownership(now, "job " + job.id().str() + " has a row with a later epoch of the cell");
     return true;
 }
 
+// Removes a job from memory and remembers that it has ended.
 void flow_cell::forget_job(instant now, job_id id) // NOLINT(performance-unnecessary-value-param): the job owns the name
 {
     const auto found = jobs_.find(id);
@@ -691,23 +725,26 @@
     recently_ended_jobs_[id] = now;
 }
 
-// What a worker adds to the room for each filling image, and to what its pool serves.
+// Adds a worker's capacity for each filling image, and the processors that its serving tasks use by image, to the row
+// of its pool.
 void flow_cell::add_filling_capacity(const cell_worker& w, wire::flow_pool_row& pool) const
 {
-    const std::int64_t left = std::max<std::int64_t>(0, available_for_filling(option_of(w.clock_read_at, w)));
+    const std::int64_t unused_cpu = std::max<std::int64_t>(0, available_for_filling(option_of(w.clock_read_at, w)));
     const double room = static_cast<double>(std::max<std::int64_t>(1, w.listing.room.cpu_millis));
-    std::vector<double> spare;
-    spare.reserve(w.serving_groups.size());
+    std::vector<double> spare_pressure;
+    spare_pressure.reserve(w.serving_groups.size());
     for (const serving_group& group : w.serving_groups) {
-        spare.push_back(std::max(0.0, group.mean_tolerated_pressure * w.tolerance_margin - pressure_on(w, group)));
+        spare_pressure.push_back(
+            std::max(0.0, group.mean_tolerated_pressure * w.tolerance_margin - pressure_on(w, group)));
     }
     for (int f = 0; f < interference_.filling_count(); ++f) {
-        double borne = static_cast<double>(left) / room;
-        for (std::size_t g = 0; g < spare.size(); ++g) {
-            borne = std::min(
-                borne, spare[g] / std::max(0.01, interference_.interference_coefficient(w.serving_groups[g].image, f)));
+        double fillable_share = static_cast<double>(unused_cpu) / room;
+        for (std::size_t g = 0; g < spare_pressure.size(); ++g) {
+            fillable_share =
+                std::min(fillable_share, spare_pressure[g] / std::max(0.01, interference_.interference_coefficient(
+                                                                                w.serving_groups[g].image, f)));
         }
-        pool.fill_cpu_millis[interference_.filling_name(f)] += static_cast<std::int32_t>(borne * room);
+        pool.fill_cpu_millis[interference_.filling_name(f)] += static_cast<std::int32_t>(fillable_share * room);
     }
     for (const auto& [task, run] : w.ledger) {
         if (run.tail_target > duration(0)) {
@@ -716,7 +753,7 @@
     }
 }
 
-// The image of the tasks that serve there: empty when none does, several_images when they differ.
+// Returns the image of the serving tasks on the worker: empty when there are none, several_images when they differ.
 std::string flow_cell::serving_image(const cell_worker& w) const
 {
     if (w.serving_groups.empty()) {
@@ -728,6 +765,8 @@
     return same ? interference_.serving_name(first) : several_images;
 }
 
+// Summarises for peers, by service, the capacity and the use of the workers that take part in placement, and the
+// learned interference coefficients.
 wire::flow_cell_news flow_cell::news(instant now) const
 {
     wire::flow_cell_news news;
@@ -747,18 +786,18 @@
         pool.total_cpu_millis += w.listing.room.cpu_millis;
         pool.free_cpu_millis += free;
         pool.unused_cpu_millis += available_for_filling(option_of(w.clock_read_at, w));
-        wire::flow_worker_room each;
-        each.free_cpu_millis = static_cast<std::int32_t>(free);
-        each.serving = serving_image(w);
+        wire::flow_worker_room worker_room;
+        worker_room.free_cpu_millis = static_cast<std::int32_t>(free);
+        worker_room.serving = serving_image(w);
         std::vector<std::string>& known = pool.labels;
         for (const std::string& label : w.listing.labels) {
             const auto at = std::find(known.begin(), known.end(), label);
-            each.labels.push_back(static_cast<std::int32_t>(at - known.begin()));
+            worker_room.labels.push_back(static_cast<std::int32_t>(at - known.begin()));
             if (at == known.end()) {
                 known.push_back(label);
             }
         }
-        pool.each.push_back(each);
+        pool.each.push_back(worker_room);
         pool.largest_free_memory_mib =
             std::max(pool.largest_free_memory_mib, w.listing.room.memory_mib - w.held.memory_mib);
         pool.lasting_cpu_millis += w.lasting_cpu;
@@ -797,6 +836,8 @@
     return news;
 }
 
+// Returns the news, rebuilt at most every news_cache_ttl. The learned interference coefficients are included only
+// during the first presses_report_window of each presses_interval.
 const wire::flow_cell_news& flow_cell::cached_news(instant now)
 {
     if (cached_news_generation_ != ownership_generation_ + 1 || cached_news_at_ + news_cache_ttl <= now) {
--- a/src/flow_cell_workers.cpp
+++ b/src/flow_cell_workers.cpp
@@ -1,4 +1,5 @@
-// The workers of a cell: fencing, leases, what runs there, and the ends they list.
+// The workers of a cell: fencing them against earlier owners, renewing their leases, and processing the runs and ends
+// that they report. The exchange that does all this is called a hold.
 #include <algorithm>
 #include <cmath>
 
@@ -11,6 +12,7 @@
 
 using namespace flow_limits;
 
+// Updates the workers of the cell from the current list of workers.
 void flow_cell::on_workers_listed(instant now, const std::vector<flow_listed_worker>& workers)
 {
     workers_listed_since_takeover_ = true;
@@ -20,7 +22,7 @@
         const auto [at, added] = workers_.try_emplace(listing.worker);
         cell_worker& w = at->second;
         if (w.incarnation_ended) {
-            continue; // its entry outlives it, or never was a worker's
+            continue; // the list may still have an entry of an ended incarnation, or one that never was a worker
         }
         if (added || w.listing.draining != listing.draining || !w.listed) {
             edges_.note(log_level::info, "worker", "listed",
@@ -32,16 +34,16 @@
         if (added && role_ == role::owning) {
             charge_lapsed_worker(now, listing);
         }
-        // The exchanges with a worker that fell out of the list end once nothing runs there: without another one it
-        // would take tasks again and nobody would hear their ends.
-        const bool held = w.listed && !added;
+        // Holds to a worker that left the list stop once nothing runs there. When the worker is listed again, they
+        // have to be started again; otherwise the worker would run tasks whose ends are never received.
+        const bool holds_active = w.listed && !added;
         w.listing = listing;
         w.listed = true;
-        if (role_ == role::owning && !held) {
+        if (role_ == role::owning && !holds_active) {
             schedule_hold(now, listing.worker, duration(0));
         }
         if (role_ == role::owning && added) {
-            next_renewal_ = now; // it takes tasks once the row names it
+            next_renewal_ = now; // the worker takes tasks once the cell's row names it
         }
     }
     for (auto at = workers_.begin(); at != workers_.end();) {
@@ -67,6 +69,7 @@
 
 // --- leases ---
 
+// Returns the end of a lease that is given now, on the worker's clock; empty while its clock is unknown.
 std::optional<worker_time> flow_cell::lease_end(const cell_worker& w, instant now) const
 {
     if (!w.reading) {
@@ -75,12 +78,14 @@
     return *w.reading + (now - w.clock_read_at) + lease;
 }
 
+// Records by when, on this entry's clock, a lease that is given now has certainly ended.
 void flow_cell::note_lease(cell_worker& w, instant now) const
 {
     w.lapsed_after = std::max(w.lapsed_after, now + certainly(lease));
 }
 
-// A worker whose leases have ended is asked once all the same: it may list ends that the owner before could not hear.
+// Returns whether every worker has reported what it runs or certainly runs nothing of an earlier owner. A worker whose
+// leases have lapsed is still asked once, because it may list ends that the previous owner did not receive.
 bool flow_cell::all_workers_reconciled(instant now) const
 {
     const bool may_be_lapsed = may_expire_leases(now);
@@ -90,7 +95,8 @@
     });
 }
 
-// Tasks that last and were on such a worker may start from now on.
+// Marks a worker that never answered this owner as lapsed once all leases of earlier owners have certainly ended.
+// Lasting tasks that ran on it may then be started elsewhere.
 void flow_cell::note_lapsed(instant now, cell_worker& w)
 {
     if (!w.inherited || w.has_accepted_epoch() || w.lapsed || now < w.lapsed_after || !may_expire_leases(now)) {
@@ -104,7 +110,8 @@
     schedule_placement();
 }
 
-// What could not be found may be started from now on.
+// Ends the reconciliation after a takeover once all workers are reconciled. Tasks whose runs were not found on any
+// worker may be started from then on.
 void flow_cell::finish_reconciliation(instant now)
 {
     if (unreconciled_jobs_.empty() || !all_workers_reconciled(now)) {
@@ -121,7 +128,7 @@
     for (const job_id& id : std::exchange(unreconciled_jobs_, {})) {
         const auto found = jobs_.find(id);
         if (found != jobs_.end() && found->second->cancelled()) {
-            mark_job_dirty(now, *found->second, false); // nothing of it runs anywhere: it may be put away
+            mark_job_dirty(now, *found->second, false); // no run of the job is left, so its rows may be removed
         }
         else if (found != jobs_.end()) {
             end_if_decided(now, *found->second);
@@ -130,14 +137,15 @@
     schedule_placement();
 }
 
+// Checks all workers for lapsed leases and removes those that are no longer in use.
 void flow_cell::check_lapsed(instant now)
 {
     for (auto at = workers_.begin(); at != workers_.end();) {
         cell_worker& w = at->second;
         declare_lost_if_lapsed(now, w);
         note_lapsed(now, w);
-        // The name of one that is over is kept while the list names it: taken for new it would be asked, and logged,
-        // with each reading.
+        // The entry of a worker whose incarnation has ended remains while the worker is listed. If it were erased,
+        // each reading of the list would add, query and log the worker again.
         if (is_idle_and_unlisted(w) && !w.hold_in_flight && !w.incarnation_ended) {
             at = workers_.erase(at);
             continue;
@@ -147,17 +155,18 @@
     finish_reconciliation(now);
 }
 
-// A run there that is not in the ledger is still to be stopped, or to be known: left alone on a worker that fell out of
-// the list, a task of a cancelled job would go on until its lease ends.
+// Runs that are not in the ledger have to be stopped or adopted first. If holds to an unlisted worker ended before, a
+// task of a cancelled job would run there until its lease ends.
 bool flow_cell::is_idle_and_unlisted(const cell_worker& w)
 {
     return !w.listed && w.fenced && w.ledger.empty() && w.untracked_runs == 0;
 }
 
-// Judged only once the exchange that was under way has concluded without an answer. An owner that was held up for
-// longer than a lease finds the answers of all its workers waiting, and its own tick before them: taken for dead, they
-// would have their tasks started again although the answers tell that these are done. And not by an owner that may have
-// been followed: its follower renews the leases, and the row would tell that a run has ended which goes on.
+// Declares the worker lost if its leases have lapsed and it has not answered. The decision waits until the hold in
+// flight has failed: an owner that was suspended for longer than a lease finds the answers of all its workers queued
+// behind its own tick. If it declared the workers lost before reading the answers, it would restart tasks that the
+// answers report as done. An owner that may have been superseded does not decide either: the new owner renews the
+// leases, and the row would report the end of a run that goes on.
 void flow_cell::declare_lost_if_lapsed(instant now, cell_worker& w)
 {
     if (!may_expire_leases(now)) {
@@ -169,9 +178,9 @@
     }
 }
 
-// Nothing runs there any more. The exchange that is under way may have been answered before, with ends that only this
-// answer tells, and be waiting behind the news: its tasks are started again once it has concluded, at its time limit at
-// the latest.
+// Handles the end of a worker's incarnation, after which nothing runs there. A hold in flight may have been answered
+// before that, with ends that no other answer reports. The tasks are therefore restarted only once the hold has
+// completed, at its timeout at the latest.
 void flow_cell::on_incarnation_ended(instant now, cell_worker& w)
 {
     w.incarnation_ended = true;
@@ -181,7 +190,7 @@
     }
 }
 
-// Everything that ran there has ended and told nobody.
+// Handles the loss of a worker: all runs in its ledger ended without a report.
 void flow_cell::on_worker_lost(instant now, cell_worker& w, worker_loss_cause how)
 {
     const bool crashed = how == worker_loss_cause::crashed;
@@ -190,12 +199,12 @@
         note_silence(now, w);
     }
     if (!w.ledger.empty()) {
-        edges_.note(
-            log_level::warning, "worker", "lost",
-            {{"cell", id_.str()},
-             {"worker", w.listing.worker.str()},
-             {"runs", std::to_string(w.ledger.size())},
-             {"reason", crashed ? "another life answers at its address" : "no answer for longer than its lease"}});
+        edges_.note(log_level::warning, "worker", "lost",
+                    {{"cell", id_.str()},
+                     {"worker", w.listing.worker.str()},
+                     {"runs", std::to_string(w.ledger.size())},
+                     {"reason", crashed ? "another incarnation of the worker answers at its address"
+                                        : "the worker has not answered for longer than its lease"}});
     }
     for (const auto& [task, run] : w.ledger) {
         log_lost_run(now, w, task, run.run);
@@ -211,17 +220,17 @@
         ++stats_.lost;
         drop_run(now, w, task, run.run);
     }
-    w.fenced = true; // nothing of an earlier owner runs there either
+    w.fenced = true; // runs of earlier owners have ended as well
     w.untracked_runs = 0;
     w.listed = false;
 }
 
-// Whether an order's answer shows that another owner has followed this one, or that the worker's life has ended; then
-// everything is done that follows from it.
+// Handles an answer that shows that another owner has superseded this one, or that the worker's incarnation has ended.
+// Returns whether the answer was one of these.
 bool flow_cell::handle_fatal_result(instant now, cell_worker& w, order_result result)
 {
     if (result == order_result::fenced) {
-        lose_ownership(now, "a worker has seen a higher fencing token");
+        lose_ownership(now, "a worker has accepted a higher fencing token");
         return true;
     }
     if (result == order_result::other_life) {
@@ -234,6 +243,7 @@
 
 // --- exchanges ---
 
+// Sends a hold after `wait`, unless one is planned or in flight.
 void flow_cell::schedule_hold(instant now, const worker_id& id, duration wait)
 {
     const auto at = workers_.find(id);
@@ -245,9 +255,9 @@
         return;
     }
     at->second.hold_planned = true;
-    edges_.after(wait, [this, id, life = ownership_generation_](instant then) {
+    edges_.after(wait, [this, id, generation = ownership_generation_](instant then) {
         const auto w = workers_.find(id);
-        if (life != ownership_generation_ || w == workers_.end()) {
+        if (generation != ownership_generation_ || w == workers_.end()) {
             return;
         }
         w->second.hold_planned = false;
@@ -255,6 +265,8 @@
     });
 }
 
+// Sends a hold, which fences the worker with this epoch, confirms ends, renews leases if permitted, and queries runs
+// and ends.
 void flow_cell::send_hold(instant now, const worker_id& id)
 {
     const auto at = workers_.find(id);
@@ -276,8 +288,8 @@
     hold_worker order;
     order.fence = epoch_;
     order.confirmed = w.confirmed;
-    // A worker that did not answer may still have heard: renewing without end would leave its tasks in doubt without
-    // end. The exchanges that follow an unanswered one only ask.
+    // A worker that did not answer may have received the hold. If each hold renewed the leases, it would never be
+    // certain that its tasks have stopped. Holds after an unanswered one therefore only query the worker.
     const bool renewing = w.has_accepted_epoch() && w.silent == 0 && !w.published_silent;
     order.lease_until = renewing ? lease_end(w, now) : std::nullopt;
     order.wait = renewing && w.fenced && !needs_frequent_polling(now, w) ? hold_wait : duration(0);
@@ -285,16 +297,17 @@
         note_lease(w, now);
     }
     edges_.order(place_of(w), order, hold_timeout,
-                 [this, id, sent = now, wait = order.wait, life = ownership_generation_](instant then,
-                                                                                         const order_answer& answer) {
-                     if (life == ownership_generation_) {
+                 [this, id, sent = now, wait = order.wait,
+                  generation = ownership_generation_](instant then, const order_answer& answer) {
+                     if (generation == ownership_generation_) {
                          on_hold_result(then, id, sent, wait, answer);
                          return;
                      }
-                     persist_listed_ends(answer); // asked by an owner that has been followed since
+                     persist_listed_ends(answer); // this entry has lost the cell since it sent the hold
                  });
 }
 
+// Handles the answer to a hold, or its absence, and schedules the next one.
 void flow_cell::on_hold_result(instant now, const worker_id& id, instant sent, duration wait,
                                const order_answer& answer)
 {
@@ -307,6 +320,7 @@
     if (handle_fatal_result(now, w, answer.result)) {
         return;
     }
+    // While the rows of the cell's jobs are being read, answers are buffered.
     const bool early = role_ == role::reading && answer.result == order_result::accepted;
     if (early) {
         note_epoch_accepted(w, now);
@@ -343,30 +357,32 @@
         w.clock_read_at = now;
     }
     if (early) {
-        next_renewal_ = w.published_silent ? now : next_renewal_; // as below
-        // Its clock was not known before, so this exchange gave no lease: owners that follow each other within a second
-        // would let all that runs there lapse.
+        // The worker is given leases once the cell's row no longer marks it as silent.
+        next_renewal_ = w.published_silent ? now : next_renewal_;
+        // The worker's clock was unknown before, so this hold renewed no lease and the next one follows soon.
+        // Otherwise, when owners replace each other within a second, the leases of all runs there would lapse.
         schedule_hold(now, id, first_reading ? min_hold_interval : hold_wait);
         return;
     }
     process_inventory(now, w, sent, answer);
-    const auto again = workers_.find(id);
-    if (again == workers_.end()) {
+    const auto current = workers_.find(id);
+    if (current == workers_.end()) {
         return;
     }
-    if (again->second.published_silent) {
-        next_renewal_ = now; // it is given leases once the row no longer says that it is silent
+    if (current->second.published_silent) {
+        next_renewal_ = now; // leases are renewed once the cell's row no longer marks the worker as silent
         schedule_hold(now, id, hold_retry);
         return;
     }
-    const bool all_told = again->second.unconfirmed.empty() && again->second.unknown_job_ends.empty();
-    const duration gap = needs_frequent_polling(now, again->second) ? solo_hold_interval
-                         : all_told                                 ? min_hold_interval
-                                                                    : min_hold_interval_unconfirmed;
+    const bool all_confirmed = current->second.unconfirmed.empty() && current->second.unknown_job_ends.empty();
+    const duration gap = needs_frequent_polling(now, current->second) ? solo_hold_interval
+                         : all_confirmed                              ? min_hold_interval
+                                                                      : min_hold_interval_unconfirmed;
     schedule_hold(now, id, sent + gap - now);
 }
 
-// From now on it takes no order of the owner before.
+// Bounds the remaining leases of earlier owners, since a worker that has accepted this epoch takes no orders from
+// them.
 void flow_cell::note_epoch_accepted(cell_worker& w, instant now)
 {
     if (w.inherited && !w.has_accepted_epoch()) {
@@ -374,7 +390,7 @@
     }
 }
 
-// What the workers told while the rows were read.
+// Processes what the workers reported while the rows of the jobs were being read.
 void flow_cell::process_buffered_inventories(instant now)
 {
     for (auto& [id, w] : workers_) {
@@ -387,6 +403,7 @@
     }
 }
 
+// Processes the ends, runs and measurements that a worker listed in its answer to a hold.
 void flow_cell::process_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer)
 {
     const bool first = !w.fenced;
@@ -401,8 +418,8 @@
     for (const reported_run& run : answer.running) {
         process_running(now, w, run);
     }
-    // What a run takes that the ledger does not know is not known either: a start beside it could go over the room. Its
-    // job's row is being read, or it is being stopped.
+    // The resources of a run that is not in the ledger are unknown, so another start could exceed the worker's
+    // capacity. The row of its job is being read, or the run is being stopped.
     w.untracked_runs =
         static_cast<std::int32_t>(std::count_if(answer.running.begin(), answer.running.end(),
                                                 [&w](const reported_run& r) { return w.ledger.count(r.task) == 0; }));
@@ -417,14 +434,16 @@
     }
 }
 
+// Applies the end of a run to its job: completes, fails or requeues the task.
 void flow_cell::process_end(instant now, cell_worker& w, const reported_end& end)
 {
     const auto found = jobs_.find(end.task.job);
     if (found == jobs_.end()) {
         ledger_remove(w, end.task, end.run);
-        // An ended job's end tells nothing that is not durable already. Of any other its row must tell: a job that the
-        // owner before was told of after this one had read the rows. Confirmed unread, its end would be forgotten and
-        // the task start again once the row is come across.
+        // An end of a job that has ended adds nothing to what is stored. For any other job, the row has to record the
+        // end, and the row is read: the previous owner may have received the job after this owner had read the rows.
+        // If the end were confirmed before that, the worker would forget it, and the task would run again once the row
+        // is read.
         if (recently_ended_jobs_.count(end.task.job) == 0) {
             w.unknown_job_ends.push_back(end);
             read_unknown_job(end.task.job);
@@ -446,7 +465,7 @@
         job.note_end(end);
     }
     if (end.how == run_end::done || end.how == run_end::failed) {
-        job.note_outlived(end.task, end.run); // it came to its end
+        job.note_outlived(end.task, end.run); // the run ended without crashing the worker
     }
     switch (end.how) {
     case run_end::done:
@@ -475,25 +494,26 @@
         w.unconfirmed.push_back({end.number, end.task.job, job.changes()});
     }
     drop_run(now, w, end.task, end.run);
-    // drop_run may have ended the job.
-    const auto still = jobs_.find(end.task.job);
-    if (still == jobs_.end()) {
+    // The job may have been removed by drop_run().
+    const auto remaining = jobs_.find(end.task.job);
+    if (remaining == jobs_.end()) {
         return;
     }
     if (end.how == run_end::done && !step.lasting) {
-        after_done(now, *still->second, end.task);
+        after_done(now, *remaining->second, end.task);
     }
-    else if (end.how == run_end::failed && !step.lasting && !still->second->ended()) {
-        if (out_of_attempts(*still->second, *task)) {
-            end_job(now, *still->second, flow_state::failed);
+    else if (end.how == run_end::failed && !step.lasting && !remaining->second->ended()) {
+        if (out_of_attempts(*remaining->second, *task)) {
+            end_job(now, *remaining->second, flow_state::failed);
         }
-        mark_job_dirty(now, *still->second, true);
+        mark_job_dirty(now, *remaining->second, true);
     }
     else if (job.dirty()) {
         mark_job_dirty(now, job, false);
     }
 }
 
+// Reads the rows of an unknown job unless a read is in flight.
 void flow_cell::read_unknown_job(const job_id& job)
 {
     if (job_reads_in_flight_.try_emplace(job).second) {
@@ -501,47 +521,51 @@
     }
 }
 
+// Reads the index row of an unknown job, which shows whether the job has ended.
 void flow_cell::ask_unknown_job(const job_id& job)
 {
     job_reads_in_flight_[job].told.clear();
-    edges_.read(index_rows(job), [this, job, life = ownership_generation_](instant, const store_page& page) {
-        if (life == ownership_generation_) {
+    edges_.read(index_rows(job), [this, job, generation = ownership_generation_](instant, const store_page& page) {
+        if (generation == ownership_generation_) {
             on_unknown_index(job, page);
         }
     });
 }
 
+// Handles the index row of an unknown job and reads the rows of the job for this cell; repeats both if the table could
+// not be read.
 void flow_cell::on_unknown_index(const job_id& job, const store_page& page)
 {
-    const auto again = [this, job, life = ownership_generation_](instant) {
-        if (life == ownership_generation_) {
+    const auto retry = [this, job, generation = ownership_generation_](instant) {
+        if (generation == ownership_generation_) {
             ask_unknown_job(job);
         }
     };
     if (!page.reached) {
-        edges_.after(commit_retry, again);
+        edges_.after(commit_retry, retry);
         return;
     }
     const auto index = read_index(edges_, page.rows);
-    const bool goes_on = index && index->outcome == 0;
-    read_rows(job, [this, job, again, index, goes_on,
-                    life = ownership_generation_](instant then, const std::vector<store_row>* rows) {
+    const bool job_active = index && index->outcome == 0;
+    read_rows(job, [this, job, retry, index, job_active,
+                    generation = ownership_generation_](instant then, const std::vector<store_row>* rows) {
         if (rows == nullptr) {
-            edges_.after(commit_retry, again);
+            edges_.after(commit_retry, retry);
             return;
         }
-        if (life != ownership_generation_) {
+        if (generation != ownership_generation_) {
             return;
         }
-        if (index && !goes_on && jobs_.count(job) == 0) {
+        if (index && !job_active && jobs_.count(job) == 0) {
             notify_job_ended(then, job, *index, *rows);
         }
-        on_unknown_job(then, job, goes_on ? *rows : std::vector<store_row>());
+        on_unknown_job(then, job, job_active ? *rows : std::vector<store_row>());
     });
 }
 
-// Its rows are left over. Another cell's owner that told of it after its end, and those that this one gave tasks to,
-// have not heard of the end: what they run of it would run on.
+// Reports the end of a job whose rows still exist to other cells, and removes the rows. The cells that wrote rows
+// after the end, and the cells that those rows assign tasks to, may not know of the end and would go on running the
+// tasks.
 void flow_cell::notify_job_ended(instant now, const job_id& job, const wire::flow_job_row& index,
                                  const std::vector<store_row>& rows)
 {
@@ -551,12 +575,12 @@
     std::set<std::string> cells;
     row_version newest;
     for (const store_row& row : rows) {
-        const auto told = read_flow_row<wire::flow_job_row>(edges_, row);
+        const auto decoded = read_flow_row<wire::flow_job_row>(edges_, row);
         const job_row_name name = parse_job_row_key(row.key);
         newest = std::max(newest, row.version);
-        if (told && name.writer_kind() == row_writer_kind::other_cell) {
+        if (decoded && name.writer_kind() == row_writer_kind::other_cell) {
             cells.insert(name.writer);
-            for_each_task_home(*told, [&cells](const wire::flow_home_row& home) { cells.insert(home.cell); });
+            for_each_task_home(*decoded, [&cells](const wire::flow_home_row& home) { cells.insert(home.cell); });
         }
     }
     cells.erase(id_.str());
@@ -567,8 +591,8 @@
     schedule_row_removal(now, job, keys_of(rows));
 }
 
-// Workers may list runs of a job before its row is known. Left to the next exchange, a task whose worker has told what
-// it runs would seem to run nowhere, and start a second time.
+// Adopts runs that workers listed before the row of their job was known. If they waited for the next hold, a task
+// whose worker has already reported its run would seem not to run, and would be started a second time.
 void flow_cell::adopt_stray_runs(instant now, flow_job& job)
 {
     const auto strays = job_reads_in_flight_.find(job.id());
@@ -583,6 +607,8 @@
     }
 }
 
+// Handles the rows of a job that was unknown; they are empty if the job has ended. If the job is known now, news that
+// was buffered during the read is applied; otherwise the runs that workers listed of it are stopped.
 void flow_cell::on_unknown_job(instant now, const job_id& job, const std::vector<store_row>& rows)
 {
     if (!rows.empty()) {
@@ -590,7 +616,7 @@
     }
     const bool known = jobs_.count(job) != 0;
     if (!known && !rows.empty() && !job_reads_in_flight_[job].told.empty()) {
-        ask_unknown_job(job); // what was read does not concern this cell, what was told since may
+        ask_unknown_job(job); // the rows do not concern this cell, but rows received since may
         return;
     }
     process_unknown_ends(now, job);
@@ -599,8 +625,8 @@
         return;
     }
     if (known) {
-        for (const reported_job_row& told : reading.mapped().told) {
-            on_job_row(now, told.name, told.row, told.version);
+        for (const reported_job_row& reported : reading.mapped().told) {
+            on_job_row(now, reported.name, reported.row, reported.version);
         }
         return;
     }
@@ -609,7 +635,8 @@
     }
 }
 
-// The job's row has been read: it is known now, or has ended, or is not this cell's and its owner has its ends.
+// Processes the ends that waited for the row of their job. Ends of a job that is still unknown are dropped: the job
+// has ended, or belongs to another cell whose owner has its ends.
 void flow_cell::process_unknown_ends(instant now, const job_id& job)
 {
     for (auto& [id, w] : workers_) {
@@ -631,19 +658,20 @@
     }
 }
 
+// Processes a run that a worker lists as running: confirms its start, saves its checkpoint, and checks its progress.
 void flow_cell::process_running(instant now, cell_worker& w, const reported_run& run)
 {
-    const auto held = w.ledger.find(run.task);
+    const auto entry = w.ledger.find(run.task);
     const auto found = jobs_.find(run.task.job);
     if (found == jobs_.end()) {
-        if (held == w.ledger.end()) {
+        if (entry == w.ledger.end()) {
             process_stray_run(now, w, run);
         }
         return;
     }
     flow_job& job = *found->second;
     job.note_checkpoint(run.task, run.checkpoint);
-    if (held != w.ledger.end() && held->second.run == run.run) {
+    if (entry != w.ledger.end() && entry->second.run == run.run) {
         flow_task* const task = job.find_task(run.task);
         if (task == nullptr) {
             return;
@@ -659,18 +687,18 @@
         if (outlived) {
             job.note_outlived(run.task, run.run);
         }
-        mitigate_straggler(now, w, job, held->second, run);
+        mitigate_straggler(now, w, job, entry->second, run);
         return;
     }
-    if (held != w.ledger.end() && held->second.run > run.run) {
-        return; // the newer one is on its way
+    if (entry != w.ledger.end() && entry->second.run > run.run) {
+        return; // a newer run of the task is being started
     }
     adopt_run(now, w, job, run);
 }
 
-// A run of a job that is not in the rows read so far: its row is new, or the job has ended. Only the row tells which.
-// All that are listed until it is read wait for it: with one stopped for each exchange, the tasks of a cancelled job
-// that a worker started late would go on for seconds.
+// Processes a run of an unknown job. Either the row of the job is new or the job has ended; the row is read to find
+// out. All such runs that are listed until then are collected. If only one were stopped for each hold, the tasks of a
+// cancelled job that a worker started late would run for seconds.
 void flow_cell::process_stray_run(instant now, const cell_worker& w, const reported_run& run)
 {
     if (recently_ended_jobs_.count(run.task.job) != 0) {
@@ -681,7 +709,8 @@
     job_reads_in_flight_[run.task.job].strays.insert({w.listing.worker, run.task, run.run});
 }
 
-// A run that an earlier owner started, or one of ours whose order was carried out late.
+// Takes a run into the ledger that an earlier owner started, or that this owner started and whose order was executed
+// late. A run that is not needed is stopped.
 void flow_cell::adopt_run(instant now, cell_worker& w, flow_job& job, const reported_run& run)
 {
     flow_stage* const stage = job.find_stage(run.task);
@@ -711,8 +740,8 @@
     index_ready(job);
 }
 
-// A run that was confirmed before this exchange began, and is neither running nor ended: it is gone. That should not
-// happen; left alone, its task would wait for an end that never comes.
+// Drops runs that were confirmed before this hold was sent and that the worker lists neither as running nor as ended.
+// This is not expected to happen, but without it the task would wait for an end that is never reported.
 void flow_cell::drop_vanished_runs(instant now, cell_worker& w, instant sent, const order_answer& answer)
 {
     std::vector<std::pair<flow_task_id, run_number>> missing;
@@ -744,7 +773,8 @@
     }
 }
 
-// Ends are confirmed in order, each once the row of its job tells it.
+// Advances the number up to which ends are confirmed to the worker. Ends are confirmed in order, each once the row of
+// its job records it.
 void flow_cell::confirm_ends(cell_worker& w)
 {
     end_number confirmed = w.seen;
@@ -764,6 +794,7 @@
     w.confirmed = std::max(w.confirmed, confirmed);
 }
 
+// Confirms the ends that have become durable, and sends a hold to each worker that has none left to confirm.
 void flow_cell::confirm_all(instant now)
 {
     for (auto& [id, w] : workers_) {
@@ -776,6 +807,7 @@
     }
 }
 
+// Raises the worker's distrust, which decays by half in each distrust_half_life_s and makes placement avoid the worker.
 void flow_cell::distrust(instant now, cell_worker& w, double amount)
 {
     const double age = std::chrono::duration<double>(now - w.distrust_at).count();
