--- a/src/flow_cell_commit.cpp
+++ b/src/flow_cell_commit.cpp
@@ -1,4 +1,5 @@
-// Making facts durable: the rows of jobs that are behind, batched by part, and what follows once they are written.
+// Writes changed jobs to the table: the rows are batched by part of the cell, and what depends on a write (starts,
+// confirmations to workers, news to other cells) follows once the table has applied it.
 #include <algorithm>
 
 #include "flow_cell_p.h"
@@ -13,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t own_entries = 3; // of a transaction, for a job: the check, its row, its index
+constexpr std::size_t own_entries = 3; // of a transaction, for each job: the check, its row, its index row
 
 } // namespace
 
@@ -27,34 +28,36 @@
 void flow_cell::commit_soon(instant now, const std::string& part, duration wait)
 {
     part_state& state = parts_[part];
-    const instant due = std::max(now + wait, state.held_until);
+    const instant due = std::max(now + wait, state.no_commit_before);
     if (state.planned && state.due <= due) {
         return;
     }
     state.planned = true;
     state.due = due;
     if (due > now) {
-        edges_.after(due - now, [](instant) {}); // settle() runs after it
+        edges_.after(due - now, [](instant) {}); // an event: run_deferred_work() is called after it
     }
 }
 
-// The rows that are written together next: those that have been behind longest.
-std::vector<job_id> flow_cell::pick_group(const part_state& state)
+// Returns the jobs whose rows are written in the next transaction: those that have had unwritten changes for longest.
+std::vector<job_id> flow_cell::pick_rows_to_commit(const part_state& state)
 {
-    std::vector<std::pair<instant, job_id>> order;
-    order.reserve(state.dirty.size());
+    std::vector<std::pair<instant, job_id>> oldest_first;
+    oldest_first.reserve(state.dirty.size());
     for (const auto& [id, since] : state.dirty) {
-        order.emplace_back(since, id);
+        oldest_first.emplace_back(since, id);
     }
-    std::sort(order.begin(), order.end());
-    order.resize(std::min(order.size(), max_commit_rows));
+    std::sort(oldest_first.begin(), oldest_first.end());
+    oldest_first.resize(std::min(oldest_first.size(), max_commit_rows));
     std::vector<job_id> rows;
-    std::transform(order.begin(), order.end(), std::back_inserter(rows), [](const auto& row) { return row.second; });
+    std::transform(oldest_first.begin(), oldest_first.end(), std::back_inserter(rows),
+                   [](const auto& row) { return row.second; });
     return rows;
 }
 
-// Forgets those that turn out to be written already, and ends those of cancelled jobs nothing of which runs.
-void flow_cell::drop_clean(instant now, part_state& state)
+// Drops jobs without unwritten changes from the dirty list of the part. Ends cancelled jobs of which nothing runs any
+// more.
+void flow_cell::drop_written_jobs(instant now, part_state& state)
 {
     std::vector<job_id> clean;
     for (const auto& [id, since] : state.dirty) {
@@ -87,13 +90,13 @@
     if (!owns()) {
         return;
     }
-    drop_clean(now, state);
+    drop_written_jobs(now, state);
     if (state.in_flight || !state.fence) {
-        return; // the answer brings the next
+        return; // the next commit follows when the pending answer arrives
     }
-    const std::vector<job_id> group = pick_group(state);
-    if (!group.empty()) {
-        send_rows(part, group);
+    const std::vector<job_id> jobs = pick_rows_to_commit(state);
+    if (!jobs.empty()) {
+        send_rows(part, jobs);
     }
     else if (!state.removable.empty() && state.removals_due <= now) {
         send_removals(now, part);
@@ -111,7 +114,8 @@
     return row;
 }
 
-// The row, the news for other cells and what callers ask are in force together or not at all.
+// Adds the job's row, the news for other cells and the index row that callers read. All are applied in one transaction
+// or not at all.
 void flow_cell::add_row(store_transaction& t, const flow_job& job, const committed_row& row) const
 {
     const store_key own = job_row_key(own_row(id_, job.id()));
@@ -143,8 +147,8 @@
     ++stats_.commits;
     state.in_flight = true;
     edges_.commit(std::move(t), [this, part, rows = std::move(rows),
-                                 life = ownership_generation_](instant then, const store_result& result) {
-        if (life == ownership_generation_) {
+                                 generation = ownership_generation_](instant then, const store_result& result) {
+        if (generation == ownership_generation_) {
             parts_[part].in_flight = false;
             on_committed(then, part, rows, result);
         }
@@ -156,13 +160,13 @@
     part_state& state = parts_[job_part(id)];
     if (state.removable.empty()) {
         state.removals_due = now + removal_interval;
-        edges_.after(removal_interval, [](instant) {}); // settle() runs after it
+        edges_.after(removal_interval, [](instant) {}); // an event: run_deferred_work() is called after it
     }
     state.removable[id] = std::move(keys);
 }
 
-// Rows of jobs that have ended, as the index says. One that stays behind is found again at a takeover: whether the
-// answer comes is not waited for.
+// Removes the rows of jobs whose end the index row records. The answer is not waited for: a row that remains is found
+// and removed after the next takeover.
 void flow_cell::send_removals(instant now, const std::string& part)
 {
     part_state& state = parts_[part];
@@ -178,9 +182,9 @@
             edges_.note(log_level::info, "table", "rows_not_removed", {{"part", part}, {"reason", result.reason}});
         }
     });
-    state.removals_due = now + commit_batch_delay; // of those that are left
+    state.removals_due = now + commit_batch_delay; // of the remaining rows
     if (!state.removable.empty()) {
-        edges_.after(commit_batch_delay, [](instant) {});
+        edges_.after(commit_batch_delay, [](instant) {}); // an event, as above
     }
 }
 
@@ -207,15 +211,15 @@
             if (ready_keys_.count(row.job) != 0) {
                 schedule_placement(); // some of its tasks wait for this write
             }
-            send_noted(now, job);
+            send_recorded_starts(now, job);
             notify_other_cells(now, row, result.version);
             after_written(now, job);
         }
         confirm_all(now);
         break;
     case table_outcome::conflict:
-        // A later owner of this cell has written its epoch, or an earlier try of ours is in force although its answer
-        // was lost: nobody else writes these rows.
+        // Only owners of this cell write these rows, so either a later owner has written its epoch, or an earlier try
+        // of this owner was applied although its answer was lost.
         ++stats_.commits_conflicted;
         for (const store_row& row : result.rows) {
             if (is_fence(row.key)) {
@@ -238,67 +242,68 @@
     case table_outcome::refused:
     case table_outcome::unknown:
         state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_max);
-        state.held_until = now + state.backoff;
+        state.no_commit_before = now + state.backoff;
         ++stats_.commits_failed;
         edges_.note(log_level::warning, "table", "commit_failed", {{"part", part}, {"reason", result.reason}});
         break;
     }
     if (result.outcome == table_outcome::unknown) {
-        fence_anew(part);
+        refence_part(part);
     }
     if (!state.dirty.empty()) {
         commit_soon(now, part, state.backoff);
     }
 }
 
-// --- what an owner leaves that has been followed ---
+// --- ends that a superseded owner writes ---
 
-// That a run is done or has failed is a fact, whoever writes it. The worker that told it to this owner may be gone
-// before the next one asks, and the next one would start the task again; so a row of this entry's own tells it, and the
-// next owner is told of it. Only ends are added to what the table has: nothing that this owner had decided.
-void flow_cell::leave_ends(const job_id& job, const std::vector<reported_end>& ends)
+// Writes ends of runs that this entry knows although it no longer owns the cell. That a run is done or has failed is a
+// fact whoever writes it; the worker that reported it may be gone before the next owner asks, and that owner would
+// start the task again. The ends go into a separate row named after this incarnation, and the current owner is notified
+// of it. Only ends are added to what the table has, no decision of this owner.
+void flow_cell::write_late_ends(const job_id& job, const std::vector<reported_end>& ends)
 {
     read_rows(job, [this, job, ends](instant, const std::vector<store_row>* rows) {
-        const auto again = [this, job, ends](instant) { leave_ends(job, ends); };
+        const auto retry = [this, job, ends](instant) { write_late_ends(job, ends); };
         if (rows == nullptr) {
-            edges_.after(commit_retry_max, again);
+            edges_.after(commit_retry_max, retry);
             return;
         }
-        const std::unique_ptr<flow_job> left = read_job(job, *rows);
-        if (!left || left->ended()) {
+        const std::unique_ptr<flow_job> stored = read_job(job, *rows);
+        if (!stored || stored->ended()) {
             return;
         }
-        const std::uint64_t known = left->changes();
+        const std::uint64_t changes_before = stored->changes();
         for (const reported_end& end : ends) {
-            const flow_stage* const stage = left->find_stage(end.task);
-            if (stage != nullptr && !left->step(*stage).lasting) {
-                left->note_end(end);
+            const flow_stage* const stage = stored->find_stage(end.task);
+            if (stage != nullptr && !stored->step(*stage).lasting) {
+                stored->note_end(end);
             }
         }
-        if (left->changes() == known) {
+        if (stored->changes() == changes_before) {
             return;
         }
-        const wire::flow_job_row told = without_spec(left->current_row());
+        const wire::flow_job_row late_ends = without_spec(stored->current_row());
         const job_row_name name = late_ends_row(id_, job, self_.incarnation);
         const store_key key = job_row_key(name);
-        const auto before =
+        const auto existing =
             std::find_if(rows->begin(), rows->end(), [&key](const store_row& row) { return row.key == key; });
         store_transaction t;
-        t.checks.push_back({key, before == rows->end() ? row_version(0) : before->version});
-        t.puts.push_back({key, encode_compact(told)});
-        edges_.commit(std::move(t), [this, name, again, told](instant now, const store_result& result) {
+        t.checks.push_back({key, existing == rows->end() ? row_version(0) : existing->version});
+        t.puts.push_back({key, encode_compact(late_ends)});
+        edges_.commit(std::move(t), [this, name, retry, late_ends](instant now, const store_result& result) {
             if (result.outcome != table_outcome::applied) {
                 const bool conflict = result.outcome == table_outcome::conflict;
-                edges_.after(conflict ? commit_retry : commit_retry_max, again);
+                edges_.after(conflict ? commit_retry : commit_retry_max, retry);
                 return;
             }
             edges_.note(log_level::info, "job", "ends_left", {{"job", name.job.str()}, {"cell", id_.str()}});
-            hooks_.notify_cell_owner(now, name, told, result.version);
+            hooks_.notify_cell_owner(now, name, late_ends, result.version);
         });
     });
 }
 
-// The worker may not be there for the next owner.
+// Writes the ends that a worker has listed, since the worker may be gone before the next owner can ask it.
 void flow_cell::persist_listed_ends(const order_answer& answer)
 {
     std::map<job_id, std::vector<reported_end>> by_job;
@@ -306,11 +311,11 @@
         by_job[end.task.job].push_back(end);
     }
     for (const auto& [job, ends] : by_job) {
-        leave_ends(job, ends);
+        write_late_ends(job, ends);
     }
 }
 
-void flow_cell::leave_unwritten_ends()
+void flow_cell::persist_unwritten_ends()
 {
     for (const auto& [id, w] : workers_) {
         if (w.early) {
@@ -334,12 +339,13 @@
             }
         }
         if (!ends.empty()) {
-            leave_ends(id, ends);
+            write_late_ends(id, ends);
         }
     }
 }
 
-// Everything known of the job may be in its row now: callers learn what has become of it, and an ended job is put away.
+// Called when a job's changes may all be in the table. Callers are notified of a job that has ended, and once none of
+// its runs is left its rows are removed.
 void flow_cell::after_written(instant now, flow_job& job)
 {
     if (job.dirty() || !job.ended()) {
@@ -356,8 +362,8 @@
         job.note_writer(accepted_row(id_, job.id()).writer);
         job.note_writer(cancel_row(id_, job.id()).writer);
     }
-    for (const std::string& teller : job.known_writers()) {
-        keys.push_back(job_row_key({id_, job.id(), teller}));
+    for (const std::string& writer : job.known_writers()) {
+        keys.push_back(job_row_key({id_, job.id(), writer}));
     }
     schedule_row_removal(now, job.id(), std::move(keys));
     forget_job(now, job.id());
--- a/src/flow_cell_log.cpp
+++ b/src/flow_cell_log.cpp
@@ -1,4 +1,4 @@
-// What a cell's owner logs of its load, and of the tasks that wait.
+// Log lines of a cell's owner: the load of the cell, tasks that wait for long, and runs that were lost.
 #include <algorithm>
 #include <array>
 
@@ -21,8 +21,8 @@
 
 } // namespace
 
-flow_cell::task_wait flow_cell::why_waits(instant now, const flow_job& job, const flow_stage& stage,
-                                          const flow_task& task) const
+flow_cell::task_wait flow_cell::find_wait_reason(instant now, const flow_job& job, const flow_stage& stage,
+                                                 const flow_task& task) const
 {
     if (!may_send_orders(now)) {
         return {task_wait_reason::owner_silent, worker_id()};
@@ -37,15 +37,15 @@
         return {task_wait_reason::may_still_run, worker_id(task.start.worker)};
     }
     const flow_step& step = job.step(stage);
-    const bool usable = std::any_of(workers_.begin(), workers_.end(), [&](const auto& w) {
+    const bool schedulable = std::any_of(workers_.begin(), workers_.end(), [&](const auto& w) {
         return is_schedulable(now, w.second) && w.second.listing.service == job.row().service_name &&
                has_label(w.second.listing.labels, step.label);
     });
-    return {usable ? task_wait_reason::no_room : task_wait_reason::no_worker, worker_id()};
+    return {schedulable ? task_wait_reason::no_room : task_wait_reason::no_worker, worker_id()};
 }
 
-// Those that last first, as they are missed soonest; then those that have waited longest.
-void flow_cell::log_waits(instant now)
+// Lasting tasks are logged first, since their absence matters soonest, then the tasks that have waited for longest.
+void flow_cell::log_waiting_tasks(instant now)
 {
     struct waiting_task {
         bool lasting = false;
@@ -75,31 +75,34 @@
     });
     waiting.resize(std::min(waiting.size(), max_waits_logged));
     for (const waiting_task& w : waiting) {
-        const task_wait why = why_waits(now, *w.job, *w.stage, w.stage->tasks[w.index]);
-        const auto on = workers_.find(why.worker);
-        const duration silence = on == workers_.end() ? duration(0) : now - std::max(on->second.last_answer, taken_at_);
+        const task_wait wait = find_wait_reason(now, *w.job, *w.stage, w.stage->tasks[w.index]);
+        const auto worker_at = workers_.find(wait.worker);
+        const duration silence =
+            worker_at == workers_.end() ? duration(0) : now - std::max(worker_at->second.last_answer, taken_at_);
         edges_.note(log_level::info, "task", "waits",
                     {{"task", text_of(w.job->task_id(*w.stage, w.index))},
                      {"cell", id_.str()},
                      {"epoch", std::to_string(epoch_.value())},
                      {"for_ms", std::to_string((now - w.since).count() / 1000)},
-                     {"reason", name_of(why.reason)},
-                     {"worker", why.worker.valid() ? why.worker.str() : "none"},
+                     {"reason", name_of(wait.reason)},
+                     {"worker", wait.worker.valid() ? wait.worker.str() : "none"},
                      {"worker_silent_ms", std::to_string(silence.count() / 1000)}});
     }
 }
 
-// How long it had run tells a task that crashes its workers from one that was there by chance.
+// Logs how long the run had lasted and how many runs were beside it, which distinguishes a task that crashes its
+// workers from one that happened to run on a crashed worker.
 void flow_cell::log_lost_run(instant now, const cell_worker& w, const flow_task_id& task, run_number run) const
 {
     const auto found = jobs_.find(task.job);
-    const flow_task* const t = found == jobs_.end() ? nullptr : found->second->find_task(task);
+    const flow_task* const lost_task = found == jobs_.end() ? nullptr : found->second->find_task(task);
     instant started{};
-    for (const live_run& live : t == nullptr ? std::vector<live_run>() : t->runs) {
+    for (const live_run& live : lost_task == nullptr ? std::vector<live_run>() : lost_task->runs) {
         started = live.run == run && live.worker == w.listing.worker ? live.started : started;
     }
-    const instant last = w.unanswered_since == instant{} ? now : w.unanswered_since;
-    const std::int64_t ran_ms = started == instant{} ? -1 : std::max<std::int64_t>(0, (last - started).count() / 1000);
+    const instant last_seen = w.unanswered_since == instant{} ? now : w.unanswered_since;
+    const std::int64_t ran_ms =
+        started == instant{} ? -1 : std::max<std::int64_t>(0, (last_seen - started).count() / 1000);
     edges_.note(log_level::info, "run", "lost",
                 {{"task", text_of(task)},
                  {"run", std::to_string(run.value())},
@@ -115,14 +118,14 @@
     std::int64_t filling = 0;
     std::int64_t lasting = 0;
     std::int64_t largest_free = 0;
-    int usable = 0;
+    int schedulable = 0;
     int silent = 0;
     for (const auto& [id, w] : workers_) {
         silent += w.silent > 0 ? 1 : 0;
         if (!w.listed || !w.fenced || w.listing.draining || w.silent > 0) {
             continue;
         }
-        ++usable;
+        ++schedulable;
         room = room + w.listing.room;
         held = held + w.held;
         filling += w.filling_cpu;
@@ -158,7 +161,7 @@
                  {"epoch", std::to_string(epoch_.value())},
                  {"jobs", std::to_string(jobs_.size())},
                  {"awaited", std::to_string(unreconciled_jobs_.size())},
-                 {"workers", std::to_string(usable)},
+                 {"workers", std::to_string(schedulable)},
                  {"silent", std::to_string(silent)},
                  {"room_cpu", std::to_string(room.cpu_millis)},
                  {"held_cpu", std::to_string(held.cpu_millis)},
--- a/src/flow_cell_moves.cpp
+++ b/src/flow_cell_moves.cpp
@@ -1,4 +1,4 @@
-// Tasks that their cell has no room for: they go to another cell, or a worker is kept free for them.
+// Tasks that this cell has no room for: they are handed off to another cell, or a worker is reserved for them.
 #include <algorithm>
 
 #include "flow_cell_p.h"
@@ -11,8 +11,9 @@
 
 namespace {
 
-// Filling work waits where it is borne nowhere. Given away from cell to cell at the same pace all the while, it made as
-// many writes as all other work together, of rows that every owner writes; so each move is waited for twice as long.
+// How long a task waits here before it is handed off. Filling work waits while the serving tasks on every worker
+// tolerate no more of it. Handed off from cell to cell at a constant interval, it caused as many row writes as all
+// other work together; so the wait doubles with each move.
 duration wait_before_move(const flow_step& step, const flow_task& task)
 {
     const std::int32_t doublings = step.filling ? std::min(task.home.moves, max_move_backoff_doublings) : 0;
@@ -21,7 +22,7 @@
 
 } // namespace
 
-// In force once the job's row is written.
+// Hands the task off to another cell. The hand-off takes effect once the job's row is written.
 void flow_cell::move_task_to_cell(instant now, flow_job& job, const flow_task_id& task,
                                   const std::pair<cell_id, skylarkhub::epoch>& to)
 {
@@ -34,19 +35,20 @@
     job.hand_off_task(task, to.first, to.second, epoch_);
     ++stats_.handed_off;
     index_ready(job);
-    mark_job_dirty(now, job, job.step(*job.find_stage(task)).lasting); // others may share the write
+    mark_job_dirty(now, job,
+                   job.step(*job.find_stage(task)).lasting); // writes for other tasks may be batched
 }
 
-// Tasks that no worker here has room for go to a cell that has: a cell may lose workers, or fill up with tasks that
-// last, while others stay empty.
-void flow_cell::give_away_waiting(instant now)
+// Hands tasks that no worker here has room for to cells that have room. Called every handoff_interval. A cell may lose
+// workers, or fill up with lasting tasks, while other cells stay empty.
+void flow_cell::hand_off_waiting_tasks(instant now)
 {
-    next_give_away_ = now + handoff_interval;
+    next_handoff_pass_ = now + handoff_interval;
     if (stopping_ || !may_send_orders(now)) {
         return;
     }
-    int left = max_handoffs;
-    kept_in_round_ = 0;
+    int handoffs_left = max_handoffs;
+    promised_reservations_ = 0;
     index_ready_again();
     const std::set<ready_key> waiting = ready_;
     for (const ready_key& key : waiting) {
@@ -60,57 +62,57 @@
                 continue;
             }
             if (!job.step(stage).gang) {
-                left -= give_away_tasks(now, job, stage, left);
+                handoffs_left -= hand_off_stage_tasks(now, job, stage, handoffs_left);
             }
             else if (unreconciled_jobs_.count(key.job) == 0 && move_gang(now, job, stage)) {
                 index_ready(job);
                 mark_job_dirty(now, job, true);
             }
         }
-        if (left <= 0) {
+        if (handoffs_left <= 0) {
             return;
         }
     }
 }
 
-// At most so many tasks of the stage; the number that went.
-int flow_cell::give_away_tasks(instant now, flow_job& job, flow_stage& stage, int most)
+// Hands off at most max_tasks tasks of the stage and returns how many were handed off.
+int flow_cell::hand_off_stage_tasks(instant now, flow_job& job, flow_stage& stage, int max_tasks)
 {
     const flow_step& step = job.step(stage);
-    int given = 0;
-    for (std::size_t i = 0; i < stage.tasks.size() && given < most; ++i) {
+    int handed_off = 0;
+    for (std::size_t i = 0; i < stage.tasks.size() && handed_off < max_tasks; ++i) {
         const flow_task& task = stage.tasks[i];
         if (task.stage != flow_task_state::ready || !task.runs.empty() || !may_start(job, stage, task) ||
             now - task.ready_since < wait_before_move(step, task) ||
             (task.may_crash_workers() && find_dedicated(now, job.task_id(stage, i)) != nullptr)) {
             continue;
         }
-        const auto to = find_place_elsewhere(now, job, stage);
+        const auto to = find_cell_for_task(now, job, stage);
         if (!to) {
             break;
         }
         move_task_to_cell(now, job, job.task_id(stage, i), *to);
-        ++given;
+        ++handed_off;
     }
-    return given;
+    return handed_off;
 }
 
-// Where workers have left a full site, no cell has room for a lasting task at once, and what short tasks give back in
-// one place is taken by other short tasks before it is enough. Such a task goes where they can make room for it, unless
-// they can here.
-std::optional<std::pair<cell_id, skylarkhub::epoch>> flow_cell::find_place_elsewhere(instant now, const flow_job& job,
-                                                                                     const flow_stage& stage)
+// Finds another cell for a task. When workers have left a full site, no cell has free room for a lasting task, and
+// short tasks take up what other short tasks release before it is enough. A lasting task then goes to a cell where a
+// worker can be reserved for it, unless one can be reserved here.
+std::optional<std::pair<cell_id, skylarkhub::epoch>> flow_cell::find_cell_for_task(instant now, const flow_job& job,
+                                                                                   const flow_stage& stage)
 {
     const flow_step& step = job.step(stage);
     const std::string& service = job.row().service_name;
     auto to = hooks_.find_cell_with_room(now, id_, service, step, room_kind::free);
-    if (!to && step.lasting && !can_make_room(job, stage)) {
+    if (!to && step.lasting && !can_reserve_worker(job, stage)) {
         to = hooks_.find_cell_with_room(now, id_, service, step, room_kind::reservable);
     }
     return to && job.may_extend_to(to->first, max_cells_per_job) ? to : std::nullopt;
 }
 
-// Whether the task fits on the worker if only tasks that last stay there.
+// Whether the task fits on the worker beside the lasting tasks there, once all other tasks have ended.
 bool flow_cell::is_reservable(const cell_worker& w, const flow_job& job, const flow_stage& stage)
 {
     const flow_step& step = job.step(stage);
@@ -119,28 +121,29 @@
     }
     const bool usable = w.listed && w.named && w.fenced && !w.listing.draining && w.silent == 0 && !w.dedicated_to &&
                         w.listing.service == job.row().service_name && has_label(w.listing.labels, step.label);
-    const resources lasting{w.lasting_cpu, w.lasting_memory, 0};
-    return usable && fits(lasting + step.need, w.listing.room);
+    const resources lasting_resources{w.lasting_cpu, w.lasting_memory, 0};
+    return usable && fits(lasting_resources + step.need, w.listing.room);
 }
 
-// Whether one more of the tasks that wait here will have a worker kept free for it. Those that were told so in this
-// round are counted, not those for which workers are reserved already: a task must not leave for its own reservation.
-bool flow_cell::can_make_room(const flow_job& job, const flow_stage& stage)
+// Whether a worker here can be reserved for one more of the waiting tasks. Reservations promised in this round are
+// counted, not workers reserved earlier: one of those may be reserved for this very task, which must not leave because
+// of it.
+bool flow_cell::can_reserve_worker(const flow_job& job, const flow_stage& stage)
 {
     const auto reservable = std::count_if(workers_.begin(), workers_.end(),
                                           [&](const auto& w) { return is_reservable(w.second, job, stage); });
-    const bool room = reservable > kept_in_round_;
-    kept_in_round_ += room ? 1 : 0;
-    return room;
+    const bool can_reserve = reservable > promised_reservations_;
+    promised_reservations_ += can_reserve ? 1 : 0;
+    return can_reserve;
 }
 
-// Keeps a worker free of new short work until a lasting task fits there. Short tasks come and go several times a second
-// and each takes what one before it gave back: a lasting task, which needs more at once, would wait for ever beside
-// them on a site that is full. Of the workers that will do, the one where least has to end.
+// Reserves a worker for a lasting task: no new short work is started there until the task fits. Short tasks start and
+// end several times a second and each takes the room that an earlier one released, so on a full site a lasting task,
+// which needs more at once, would wait for ever. Of the suitable workers the one is chosen where least has to end.
 void flow_cell::reserve_worker(instant now, const flow_job& job, const flow_stage& stage)
 {
-    const auto most = static_cast<int>(max_reserved_share * static_cast<double>(workers_.size())) + 1;
-    if (reserved_in_pass_ >= most) {
+    const auto max_tasks = static_cast<int>(max_reserved_share * static_cast<double>(workers_.size())) + 1;
+    if (reserved_in_pass_ >= max_tasks) {
         return;
     }
     cell_worker* best = nullptr;
--- a/src/flow_cell_ownership.cpp
+++ b/src/flow_cell_ownership.cpp
@@ -1,4 +1,7 @@
-// Ownership of a cell: watching its row, taking it over, renewing, losing and releasing it.
+// Ownership of a cell: watching its row in the table, taking the cell over, renewing, losing and releasing ownership.
+//
+// The row names the owner, its epoch and its workers. An owner that does not renew the row in time is followed by
+// another entry, which writes a higher epoch.
 #include <algorithm>
 
 #include "flow_cell_p.h"
@@ -13,7 +16,7 @@
 
 namespace {
 
-std::int64_t whole_ms(duration d)
+std::int64_t ceil_to_ms(duration d)
 {
     return std::chrono::ceil<std::chrono::milliseconds>(d).count();
 }
@@ -24,32 +27,35 @@
     : id_(std::move(id)), self_(std::move(self)), edges_(edges), hooks_(std::move(hooks))
 {}
 
-// An owner that stood still, or that the table turned away, may have been followed without knowing. It sends nothing
-// once its last renewal is older than a follower takes into account: else it would start anew, on workers that the
-// follower cannot reach, what the follower starts elsewhere. While the table answers nobody there is no follower, and
-// what runs is kept alive.
+// Whether this owner may send commands to workers. An owner that was suspended, or whose renewals the table refuses,
+// may have been followed without noticing. It therefore sends nothing once its last renewal is older than
+// ownership_lease, which a follower allows for. Otherwise it could start again, on workers that the follower cannot
+// reach, tasks that the follower has started elsewhere. While the table answers no entry there can be no follower, and
+// the runs are kept alive.
 bool flow_cell::may_send_orders(instant now) const
 {
     return role_ == role::owning && is_unfollowed(now, ownership_lease);
 }
 
-// Workers may be asked, and their leases renewed, also while the rows are read.
+// Whether this owner may hold workers and so renew their leases. It may do so while the rows of the jobs are still
+// being read.
 bool flow_cell::may_renew_leases(instant now) const
 {
     return owns() && is_unfollowed(now, ownership_lease);
 }
 
-// A follower comes before its owner falls silent, and renews leases that the owner believes to have ended: what can be
-// known only by the time that has passed is concluded while there can be no follower.
+// Whether this owner may conclude from elapsed time alone that a lease has ended. A follower may take the cell before
+// this owner stops sending, and renew leases that this owner takes for expired; so such conclusions are drawn only
+// while there can be no follower.
 bool flow_cell::may_expire_leases(instant now) const
 {
     return role_ == role::owning && is_unfollowed(now, owner_silence_local);
 }
 
-bool flow_cell::is_unfollowed(instant now, duration hold) const
+bool flow_cell::is_unfollowed(instant now, duration max_renewal_age) const
 {
     const duration age = now - renewed_;
-    return age < hold || (age < ownership_lease_outage && hooks_.table_outage(now, renewed_));
+    return age < max_renewal_age || (age < ownership_lease_outage && hooks_.table_outage(now, renewed_));
 }
 
 void flow_cell::read_row(instant now)
@@ -78,12 +84,12 @@
     if (changed) {
         row_seen_at_ = now;
     }
-    // A row that could not be read for a while may stand unchanged because its owner could not write it either: it is
-    // given the time of a silence from now on.
-    if (changed || now - row_answered_at_ > max_row_read_age) {
+    // A row that could not be read for a while may be unchanged because its owner could not write it either. The time
+    // of silence after which the owner counts as gone therefore starts now.
+    if (changed || now - row_read_succeeded_at_ > max_row_read_age) {
         row_unchanged_since_ = now;
     }
-    row_answered_at_ = now;
+    row_read_succeeded_at_ = now;
     row_known_ = true;
     row_present_ = row != nullptr;
     row_version_ = version;
@@ -96,8 +102,8 @@
         return;
     }
     row_ = *decoded;
-    const bool mine = row_.incarnation == self_.incarnation.str();
-    if (owns() && (!mine || row_.epoch != epoch_.value())) {
+    const bool owned_by_this_incarnation = row_.incarnation == self_.incarnation.str();
+    if (owns() && (!owned_by_this_incarnation || row_.epoch != epoch_.value())) {
         lose_ownership(now, "another entry has taken the cell");
     }
 }
@@ -115,18 +121,18 @@
     case role::owning:
         break;
     }
-    if (now >= next_renewal_ && !acting_) {
+    if (now >= next_renewal_ && !row_request_in_flight_) {
         renew(now);
     }
     if (role_ != role::owning) {
         if (stopping_) {
-            release(now); // reading on would keep the cell from an owner that may start tasks
+            release(now); // while this entry reads the rows, no owner starts tasks in the cell
         }
         return;
     }
     check_lapsed(now);
-    if (now >= next_vacating_) {
-        vacate_draining(now);
+    if (now >= next_drain_pass_) {
+        drain_workers(now);
     }
     if (!workers_listed_since_takeover_ || isolated_task_waits_) {
         schedule_placement();
@@ -139,10 +145,10 @@
     }
     if (now >= next_waits_log_) {
         next_waits_log_ = now + waits_log_interval;
-        log_waits(now);
+        log_waiting_tasks(now);
     }
-    if (now >= next_give_away_) {
-        give_away_waiting(now);
+    if (now >= next_handoff_pass_) {
+        hand_off_waiting_tasks(now);
     }
     if (stopping_) {
         release(now);
@@ -151,7 +157,7 @@
 
 void flow_cell::consider_takeover(instant now, const cell_candidacy& c)
 {
-    if (acting_ || c.leaving || stopping_) {
+    if (row_request_in_flight_ || c.leaving || stopping_) {
         return;
     }
     const auto read_if_older = [&](duration age) {
@@ -165,25 +171,26 @@
         read_if_older(row_read_interval);
         return;
     }
-    const duration turn = candidate_stagger * c.rank + (c.same_data_centre ? duration(0) : 2 * candidate_stagger);
+    const duration candidate_delay =
+        candidate_stagger * c.rank + (c.same_data_centre ? duration(0) : 2 * candidate_stagger);
     const duration unchanged = now - row_unchanged_since_;
-    const bool ours = row_present_ && row_.owner == self_.entry.str();
-    if (ours && !row_.released) {
-        take(now); // written by an earlier life of this entry, or by a write of ours whose answer was lost
+    const bool owned_by_this_entry = row_present_ && row_.owner == self_.entry.str();
+    if (owned_by_this_entry && !row_.released) {
+        take(now); // written by an earlier incarnation of this entry, or by a take of this one whose answer was lost
         return;
     }
     if (!row_present_ || row_.released) {
-        if (unchanged >= turn && !read_if_older(max_free_row_age)) {
+        if (unchanged >= candidate_delay && !read_if_older(max_free_row_age)) {
             take(now);
         }
         return;
     }
     if (c.owner_leaving && read_if_older(leaving_row_interval)) {
-        return; // it is about to release the row
+        return; // the owner is about to release the row
     }
     if (c.owner_live) {
-        // The first candidate knows the row itself: an owner that falls silent is followed 2.5 s after its last renewal
-        // was seen, before the leases that it gave have ended.
+        // The first candidate watches the row even while the owner answers its peers: an owner that stops renewing is
+        // followed 2.5 s after its last renewal was seen, before the leases that it gave have ended.
         if (c.rank == 0 && c.same_data_centre) {
             read_if_older(row_watch_interval);
         }
@@ -193,12 +200,12 @@
         return;
     }
     if (c.owner_restarted) {
-        // Its earlier life may have released the row. What is left of leases counts from when the row was first seen:
-        // the sooner, the shorter the wait.
+        // The earlier incarnation of the owner may have released the row. The remaining lease times in the row count
+        // from when the row was first seen, so an early read shortens the wait.
         if (c.rank <= 1 && read_if_older(leaving_row_interval)) {
             return;
         }
-        if (unchanged >= restarted_grace + turn && !read_if_older(row_read_interval)) {
+        if (unchanged >= restarted_grace + candidate_delay && !read_if_older(row_read_interval)) {
             take(now);
         }
         return;
@@ -218,7 +225,7 @@
     }
 }
 
-// Puts `wanted` in force if the row still is as this entry knows it.
+// Writes `wanted` if the row is still at the version that this entry knows.
 void flow_cell::write_row(const wire::flow_cell_row& wanted, std::function<void(instant, const store_result&)> done)
 {
     store_transaction t;
@@ -227,20 +234,21 @@
     edges_.commit(std::move(t), std::move(done));
 }
 
-// A data centre that is cut off still has its owner, its workers and its callers: an entry outside that took the cell
-// over could reach no worker, and when the cut heals everything there would change hands for nothing. So one that is
-// outside must first reach a worker. The order is one that does nothing: its fencing token is the lowest.
+// A data centre that is cut off from the others still has its owner, its workers and its callers. An entry outside that
+// took the cell over could reach no worker, and once the connection is back the cell would change owners again for
+// nothing. An entry of another data centre therefore takes the cell only if one of its workers answers. The order that
+// it sends changes nothing on the worker, because its fencing token is the lowest.
 void flow_cell::probe_then_take()
 {
     if (workers_.empty()) {
         return;
     }
-    acting_ = true;
+    row_request_in_flight_ = true;
     auto at = workers_.begin();
     std::advance(at, static_cast<std::ptrdiff_t>(row_read_at_.time_since_epoch().count() %
                                                  static_cast<std::int64_t>(workers_.size())));
     edges_.order(place_of(at->second), hold_worker{}, hold_timeout, [this](instant then, const order_answer& answer) {
-        acting_ = false;
+        row_request_in_flight_ = false;
         const bool reached = answer.result != order_result::no_answer && answer.result != order_result::unhealthy;
         if (reached && role_ == role::watching) {
             take(then);
@@ -250,34 +258,35 @@
 
 void flow_cell::take(instant now)
 {
-    acting_ = true;
+    row_request_in_flight_ = true;
     role_ = role::taking;
     wire::flow_cell_row wanted;
     wanted.epoch = row_present_ ? row_.epoch + 1 : 1;
     wanted.owner = self_.entry.str();
     wanted.incarnation = self_.incarnation.str();
     wanted.address = self_.address.str();
-    fresh_ = !row_present_;
-    wanted.starts_noted = fresh_ || row_.starts_noted;
-    if (fresh_) {
-        wanted.pending.up_to = row_read_version_.value(); // no job had been accepted for a cell without an owner
+    never_owned_before_ = !row_present_;
+    wanted.starts_noted = never_owned_before_ || row_.starts_noted;
+    if (never_owned_before_) {
+        wanted.pending.up_to = row_read_version_.value(); // no job is accepted for a cell that never had an owner
     }
     else {
         wanted.pending = row_.pending;
     }
-    know_named(row_);
-    // Whoever owned it before sends nothing any more if it released the row or was this entry. Where this life's own
-    // name stems from a take whose answer was lost, the owner before that one counts on.
-    const bool own_take = take_in_doubt_ && row_present_ && row_.incarnation == self_.incarnation.str();
-    const bool certainly_gone = fresh_ || row_.released || row_.owner == self_.entry.str();
+    inherit_named_workers(row_);
+    // The previous owner certainly sends nothing any more if it released the row or was this entry. If the row names
+    // this incarnation because of a take whose answer was lost, the time computed for the owner before that take still
+    // holds.
+    const bool own_take = take_outcome_unknown_ && row_present_ && row_.incarnation == self_.incarnation.str();
+    const bool previous_owner_gone = never_owned_before_ || row_.released || row_.owner == self_.entry.str();
     if (!own_take) {
-        old_owner_silent_ = certainly_gone ? now : std::max(now, row_seen_at_ + ownership_lease);
+        previous_owner_silent_from_ = previous_owner_gone ? now : std::max(now, row_seen_at_ + ownership_lease);
     }
-    bound_inherited(row_);
-    wanted.workers = tell_workers(now, false);
+    bound_inherited_leases(row_);
+    wanted.workers = build_worker_names(now, false);
     renewed_ = now;
     write_row(wanted, [this, wanted](instant then, const store_result& result) {
-        acting_ = false;
+        row_request_in_flight_ = false;
         on_taken(then, wanted, result);
     });
 }
@@ -290,15 +299,15 @@
             on_row_read(now, result.rows.empty() ? nullptr : &result.rows.front());
         }
         else {
-            row_known_ = false; // read it again: the write may be in force
-            take_in_doubt_ = true;
+            row_known_ = false; // unknown outcome: the row is read again, as the write may have been applied
+            take_outcome_unknown_ = true;
         }
         edges_.note(log_level::info, "cell", "take_failed", {{"cell", id_.str()}, {"reason", result.reason}});
         return;
     }
-    take_in_doubt_ = false;
+    take_outcome_unknown_ = false;
     row_ = wanted;
-    note_named(wanted);
+    mark_named_workers(wanted);
     row_present_ = true;
     row_version_ = result.version;
     row_seen_at_ = now;
@@ -310,41 +319,45 @@
     next_renewal_ = now + renew_interval;
     ++ownership_generation_;
     ++stats_.takeovers;
-    edges_.note(log_level::info, "cell", "taken",
-                {{"cell", id_.str()}, {"epoch", std::to_string(wanted.epoch)}, {"fresh", fresh_ ? "yes" : "no"}});
-    // Failure: the rows of many jobs take a small entry several seconds. Symptom: nobody renews a lease meanwhile, and
-    // all that runs in the cell lapses. So the workers are asked from now on; what they tell waits for the rows.
+    edges_.note(
+        log_level::info, "cell", "taken",
+        {{"cell", id_.str()}, {"epoch", std::to_string(wanted.epoch)}, {"fresh", never_owned_before_ ? "yes" : "no"}});
+    // Reading the rows of many jobs takes a small entry several seconds. If no lease were renewed meanwhile, every run
+    // in the cell would lapse. So the workers are held from now on; their inventories are buffered until the rows are
+    // read.
     for (auto& [id, w] : workers_) {
         schedule_hold(now, id, duration(0));
     }
     read_all_jobs(now);
 }
 
-// After a loss of all entries every owner reads its jobs at once. With all parts asked for together, each page took
-// longer over the narrow link of a small entry than it is waited for, and was asked for anew: cells had no owner for
-// 17 s. A few small pages at a time arrive, and one that does not is asked for again from where it begins.
+// Reads all job rows of the cell, a few parts at a time. After a loss of all entries every owner reads its jobs at
+// once. When all parts were requested together over the narrow link of a small entry, each page took longer than its
+// time-out and was requested again, which left cells without an owner for 17 s. A few small pages at a time arrive in
+// time, and a page that does not is requested again from where it begins.
 void flow_cell::read_all_jobs(instant now)
 {
-    watched_at_ = now;
-    parts_left_ = job_parts;
-    next_part_ = 0;
+    job_watch_asked_at_ = now;
+    parts_to_read_ = job_parts;
+    next_part_to_read_ = 0;
     read_rows_.clear();
     for (auto& [part, state] : parts_) {
         state.read = false;
     }
-    watched_ = row_version(std::numeric_limits<std::int64_t>::max());
+    job_watch_version_ = row_version(std::numeric_limits<std::int64_t>::max());
     for (int i = 0; i < job_read_concurrency; ++i) {
-        begin_part();
+        begin_next_part();
     }
 }
 
-// The fence first: what the owner before writes is in force before the rows are read, or never.
-void flow_cell::begin_part()
+// Starts with the next part that is not being read. The fence is written before the rows are read: a write of the
+// previous owner has then either been applied, and is read, or is refused.
+void flow_cell::begin_next_part()
 {
-    if (next_part_ == job_parts) {
+    if (next_part_to_read_ == job_parts) {
         return;
     }
-    const std::string part = job_part(next_part_++);
+    const std::string part = job_part(next_part_to_read_++);
     if (parts_[part].fence) {
         read_part(part, news_table, "");
     }
@@ -361,50 +374,51 @@
     store_transaction t;
     t.checks.push_back({key, known});
     t.puts.push_back({key, encode_compact(row)});
-    edges_.commit(std::move(t), [this, part, life = ownership_generation_](instant then, const store_result& result) {
-        if (life == ownership_generation_) {
-            on_fenced(then, part, result);
-        }
-    });
+    edges_.commit(std::move(t),
+                  [this, part, generation = ownership_generation_](instant then, const store_result& result) {
+                      if (generation == ownership_generation_) {
+                          on_fenced(then, part, result);
+                      }
+                  });
 }
 
 void flow_cell::on_fenced(instant now, const std::string& part, const store_result& result)
 {
     part_state& state = parts_[part];
     if (result.outcome == table_outcome::applied) {
-        use_fence(now, part, result.version);
+        adopt_fence(now, part, result.version);
         return;
     }
     if (result.outcome != table_outcome::conflict) {
         state.backoff = std::clamp<duration>(state.backoff * 2, commit_retry, commit_retry_max);
-        edges_.after(state.backoff, [this, part, life = ownership_generation_](instant) {
-            if (life == ownership_generation_) {
+        edges_.after(state.backoff, [this, part, generation = ownership_generation_](instant) {
+            if (generation == ownership_generation_) {
                 fence_part(part, row_version(0));
             }
         });
         return;
     }
-    // It shows the epoch of an owner before, or this owner's own if an answer was lost.
-    const auto there =
+    // The conflicting row has the epoch of a previous owner, or the epoch of this owner if an earlier answer was lost.
+    const auto found_row =
         result.rows.empty() ? std::nullopt : read_flow_row<wire::flow_fence_row>(edges_, result.rows.front());
     const row_version version = result.rows.empty() ? row_version(0) : result.rows.front().version;
-    const std::int64_t epoch_there = there ? there->epoch : 0;
-    if (epoch_there > epoch_.value()) {
+    const std::int64_t found_epoch = found_row ? found_row->epoch : 0;
+    if (found_epoch > epoch_.value()) {
         lose_ownership(now, "a later owner has fenced part " + part);
     }
-    else if (epoch_there == epoch_.value() && version != state.fence_in_doubt) {
-        use_fence(now, part, version);
+    else if (found_epoch == epoch_.value() && version != state.unknown_outcome_fence) {
+        adopt_fence(now, part, version);
     }
     else {
         fence_part(part, version);
     }
 }
 
-void flow_cell::use_fence(instant now, const std::string& part, row_version version)
+void flow_cell::adopt_fence(instant now, const std::string& part, row_version version)
 {
     part_state& state = parts_[part];
     if (state.fence) {
-        state.fence = std::max(*state.fence, version); // it was written twice at the same time
+        state.fence = std::max(*state.fence, version); // two writes of the fence were under way
         return;
     }
     state.fence = version;
@@ -412,24 +426,25 @@
     if (state.read) {
         commit_soon(now, part, duration(0));
     }
-    else if (fresh_) {
-        watched_ = std::min(watched_, version); // nobody has told a cell anything that had no owner yet
-        end_part(now, part);
+    else if (never_owned_before_) {
+        job_watch_version_ =
+            std::min(job_watch_version_, version); // a cell that never had an owner has no rows to read
+        finish_part_read(now, part);
     }
     else {
         read_part(part, news_table, "");
     }
 }
 
-// Failure: the answer to a write is lost, and the write comes into force seconds later. Symptom: a row that was removed
-// with its job's end is there again as it was before, and the next owner runs the job anew. Checked against a fence
-// that is no longer there, it never comes into force.
-void flow_cell::fence_anew(const std::string& part)
+// Writes the fence of a part again after a write whose outcome is unknown. Such a write might be applied seconds later:
+// a row that was removed with its ended job would exist again, and the next owner would run the job a second time. A
+// late write is checked against the old version of the fence and is refused once the fence is written again.
+void flow_cell::refence_part(const std::string& part)
 {
     part_state& state = parts_[part];
-    state.fence_in_doubt = state.fence.value_or(state.fence_in_doubt);
+    state.unknown_outcome_fence = state.fence.value_or(state.unknown_outcome_fence);
     state.fence.reset();
-    fence_part(part, state.fence_in_doubt);
+    fence_part(part, state.unknown_outcome_fence);
 }
 
 void flow_cell::read_part(const std::string& part, const char* table, const std::string& from)
@@ -437,25 +452,26 @@
     store_range range = cell_rows(table, id_, part);
     range.from = from.empty() ? range.from : from;
     range.rows_most = job_page_rows;
-    edges_.read(range, [this, part, table, from, life = ownership_generation_](instant then, const store_page& page) {
-        if (life != ownership_generation_) {
-            return;
-        }
-        if (!page.reached) {
-            edges_.after(commit_retry, [this, part, table, from, life](instant) {
-                if (life == ownership_generation_) {
-                    read_part(part, table, from);
-                }
-            });
-            return;
-        }
-        on_part_read(then, part, table, page);
-    });
+    edges_.read(range,
+                [this, part, table, from, generation = ownership_generation_](instant then, const store_page& page) {
+                    if (generation != ownership_generation_) {
+                        return;
+                    }
+                    if (!page.reached) {
+                        edges_.after(commit_retry, [this, part, table, from, generation](instant) {
+                            if (generation == ownership_generation_) {
+                                read_part(part, table, from);
+                            }
+                        });
+                        return;
+                    }
+                    on_part_read(then, part, table, page);
+                });
 }
 
 void flow_cell::on_part_read(instant now, const std::string& part, const char* table, const store_page& page)
 {
-    watched_ = std::min(watched_, page.version);
+    job_watch_version_ = std::min(job_watch_version_, page.version);
     for (const store_row& row : page.rows) {
         if (!is_fence(row.key)) {
             read_rows_[part][parse_job_row_key(row.key).job].push_back(row);
@@ -469,34 +485,35 @@
         read_part(part, jobs_table, "");
         return;
     }
-    end_part(now, part);
+    finish_part_read(now, part);
 }
 
-void flow_cell::end_part(instant now, const std::string& part)
+void flow_cell::finish_part_read(instant now, const std::string& part)
 {
     parts_[part].read = true;
-    take_part(now, part);
-    begin_part();
-    if (--parts_left_ == 0 && role_ == role::reading) {
+    process_part_rows(now, part);
+    begin_next_part();
+    if (--parts_to_read_ == 0 && role_ == role::reading) {
         become_owner(now);
     }
 }
 
-// Of a job without a row of this cell only that it was accepted shows that it goes on: news of another cell may have
-// come after its end.
-void flow_cell::take_part(instant now, const std::string& part)
+// Processes the rows that were read of a part. A job goes on here if this cell has a row of its own for it or the row
+// of its acceptance. Rows from other cells alone do not show that, since they may have been written after the job
+// ended; such a job is looked up first.
+void flow_cell::process_part_rows(instant now, const std::string& part)
 {
     const auto rows = read_rows_.extract(part);
     if (rows.empty()) {
         return;
     }
-    for (const auto& [job, of_job] : rows.mapped()) {
-        const bool goes_on = std::any_of(of_job.begin(), of_job.end(), [this](const store_row& row) {
+    for (const auto& [job, job_rows] : rows.mapped()) {
+        const bool is_active = std::any_of(job_rows.begin(), job_rows.end(), [this](const store_row& row) {
             const job_row_name name = parse_job_row_key(row.key);
             return name.is_own() || name == accepted_row(id_, name.job);
         });
-        if (goes_on || jobs_.count(job) != 0) {
-            process_job_rows(now, job, of_job);
+        if (is_active || jobs_.count(job) != 0) {
+            process_job_rows(now, job, job_rows);
         }
         else {
             read_unknown_job(job);
@@ -507,15 +524,15 @@
 void flow_cell::become_owner(instant now)
 {
     role_ = role::owning;
-    takeover_scan_version_ = watched_;
+    takeover_scan_version_ = job_watch_version_;
     unreconciled_jobs_.clear();
-    if (!fresh_) {
+    if (!never_owned_before_) {
         for (const auto& [id, job] : jobs_) {
             unreconciled_jobs_.insert(id);
         }
     }
-    fresh_ = false; // a part that is fenced anew from now on is read
-    const duration wait = std::max<duration>(duration(0), old_owner_silent_ - now);
+    never_owned_before_ = false; // a part that is fenced again from now on has rows to read
+    const duration wait = std::max<duration>(duration(0), previous_owner_silent_from_ - now);
     edges_.note(log_level::info, "cell", "owned",
                 {{"cell", id_.str()},
                  {"epoch", std::to_string(epoch_.value())},
@@ -534,7 +551,7 @@
         index_ready(*job);
         end_if_decided(now, *job);
     }
-    // The owner before no longer named such a worker: it had heard of its end.
+    // A worker that the previous owner no longer named in the row is over: that owner knew that it had ended.
     charge_noted(now, [this](const worker_id& id) { return workers_.count(id) == 0; });
     process_buffered_inventories(now);
     for (auto& [id, w] : workers_) {
@@ -543,21 +560,21 @@
     schedule_placement();
 }
 
-// The names of the workers for the cell's row, with what a follower need not find out again.
+// Builds the list of workers for the cell's row, with what a follower would otherwise have to find out.
 //
-// Failure: a worker is gone with its tasks, and its owner is followed before their leases have ended. Symptom: the
-// follower waits for a whole lease from its own takeover, and the next one again: where entries are restarted in turn,
-// tasks that last stand still for ten seconds and more. So the row tells how long leases may still last on a worker
-// that does not answer. That holds because the owner gives it no other one until the row no longer says so.
-std::vector<wire::flow_worker_name> flow_cell::tell_workers(instant now, bool releasing)
-{
-    // Said while the table is away it could not be taken back: the worker would be given no lease when it answers
-    // again.
+// When a worker is lost and its owner is followed before the leases have ended, the follower would wait for a whole
+// lease from its own takeover, and so would each further follower: with entries restarted in turn, lasting tasks would
+// be down for ten seconds and more. The row therefore says how long leases may still last on a worker that does not
+// answer. The owner gives such a worker no further lease until a later row no longer marks it as silent.
+std::vector<wire::flow_worker_name> flow_cell::build_worker_names(instant now, bool releasing)
+{
+    // A worker is not marked as silent while the table does not answer: the mark could not be removed, and the worker
+    // would get no lease when it answers again.
     const bool table_answers = now - renewed_ < 2 * renew_interval;
     std::vector<wire::flow_worker_name> names;
     for (auto& [id, w] : workers_) {
         if (w.listing.draining && w.fenced && w.ledger.empty()) {
-            continue; // nothing runs there, and nothing is started there any more: a follower need not ask it
+            continue; // nothing runs or will be started there: a follower need not contact it
         }
         wire::flow_worker_name name;
         name.worker = id.str();
@@ -566,14 +583,14 @@
             (table_answers && w.silent >= max_unanswered_holds) || (w.published_silent && !w.has_accepted_epoch());
         w.published_silent = w.published_silent || name.silent;
         if (name.silent || releasing) {
-            name.lease_left_ms = whole_ms(std::max(duration(0), w.lapsed_after - now));
+            name.lease_left_ms = ceil_to_ms(std::max(duration(0), w.lapsed_after - now));
         }
         names.push_back(std::move(name));
     }
     return names;
 }
 
-void flow_cell::note_named(const wire::flow_cell_row& row)
+void flow_cell::mark_named_workers(const wire::flow_cell_row& row)
 {
     for (auto& [id, w] : workers_) {
         w.named = false;
@@ -588,9 +605,10 @@
     }
 }
 
-// Workers that the owner before may have started tasks on. The platform's list loses workers that it has not heard
-// from, while they run on; a taker that went by the list alone would start their tasks a second time.
-void flow_cell::know_named(const wire::flow_cell_row& row)
+// Adds the workers that the previous owner named, on which it may have started tasks. The platform's list omits workers
+// that the platform has not heard from although they still run; a new owner that used only the list would start their
+// tasks a second time.
+void flow_cell::inherit_named_workers(const wire::flow_cell_row& row)
 {
     for (auto& [id, w] : workers_) {
         w.published_silent = false;
@@ -606,13 +624,13 @@
     }
 }
 
-// By when every lease on them has certainly ended: a lease after the owner before sent its last word, or sooner where
-// the row tells so.
-void flow_cell::bound_inherited(const wire::flow_cell_row& row)
+// Sets the time by which every lease on inherited workers has certainly ended: one lease after the previous owner stops
+// sending, or earlier if the row says so.
+void flow_cell::bound_inherited_leases(const wire::flow_cell_row& row)
 {
     for (auto& [id, w] : workers_) {
         if (w.inherited) {
-            w.lapsed_after = old_owner_silent_ + certainly(lease);
+            w.lapsed_after = previous_owner_silent_from_ + certainly(lease);
         }
     }
     for (const wire::flow_worker_name& name : row.workers) {
@@ -625,21 +643,21 @@
 
 void flow_cell::renew(instant now)
 {
-    acting_ = true;
+    row_request_in_flight_ = true;
     wire::flow_cell_row wanted = row_;
     ++wanted.renewals;
-    wanted.workers = tell_workers(now, false);
+    wanted.workers = build_worker_names(now, false);
     wanted.pending = pending_row(now);
-    wanted.starts_noted = wanted.starts_noted || starts_are_noted(now);
+    wanted.starts_noted = wanted.starts_noted || are_all_starts_recorded(now);
     write_row(wanted,
-              [this, wanted, sent = now, life = ownership_generation_](instant then, const store_result& result) {
-                  if (life != ownership_generation_) {
+              [this, wanted, sent = now, generation = ownership_generation_](instant then, const store_result& result) {
+                  if (generation != ownership_generation_) {
                       return;
                   }
-                  acting_ = false;
+                  row_request_in_flight_ = false;
                   if (result.outcome == table_outcome::applied) {
                       row_ = wanted;
-                      note_named(wanted);
+                      mark_named_workers(wanted);
                       row_version_ = result.version;
                       row_seen_at_ = then;
                       renewed_ = sent;
@@ -648,8 +666,8 @@
                   }
                   next_renewal_ = then + renew_retry;
                   if (result.outcome == table_outcome::conflict) {
-                      // Either another entry has the cell, or an earlier renewal of ours is in force although its
-                      // answer was lost.
+                      // Either another entry has taken the cell, or an earlier renewal of this owner was applied
+                      // although its answer was lost.
                       on_row_read(then, result.rows.empty() ? nullptr : &result.rows.front());
                   }
               });
@@ -660,10 +678,10 @@
     edges_.note(log_level::warning, "cell", "lost",
                 {{"cell", id_.str()}, {"epoch", std::to_string(epoch_.value())}, {"reason", reason}});
     ++stats_.ownership_losses;
-    leave_unwritten_ends();
+    persist_unwritten_ends();
     ++ownership_generation_;
     role_ = role::watching;
-    acting_ = false;
+    row_request_in_flight_ = false;
     row_unchanged_since_ = now;
     jobs_.clear();
     loads_.clear();
@@ -706,18 +724,19 @@
     }
 }
 
-// Nothing is left to be written or heard that a follower would have to find out. A start on a worker that does not
-// answer is not waited for: the row tells how long it may go on there.
+// Whether the row can be released: nothing remains to be written, and no start is unanswered that a follower would have
+// to find out about. An unanswered start on a silent worker is not waited for, since the row says how long it may go on
+// there.
 bool flow_cell::is_settled() const
 {
-    const auto is_heard_of = [this](const live_run& run) {
+    const auto needs_no_wait = [this](const live_run& run) {
         const auto at = workers_.find(run.worker);
         return run.confirmed || at == workers_.end() || at->second.silent > 0;
     };
     for (const auto& [id, job] : jobs_) {
         for (const flow_stage& stage : job->stages()) {
             for (const flow_task& task : stage.tasks) {
-                if (!std::all_of(task.runs.begin(), task.runs.end(), is_heard_of)) {
+                if (!std::all_of(task.runs.begin(), task.runs.end(), needs_no_wait)) {
                     return false;
                 }
             }
@@ -728,33 +747,34 @@
 
 void flow_cell::release(instant now)
 {
-    if (acting_ || (!is_settled() && now - stop_planned_at_ < stop_drain_timeout)) {
+    if (row_request_in_flight_ || (!is_settled() && now - stop_planned_at_ < stop_drain_timeout)) {
         return;
     }
     wire::flow_cell_row wanted = row_;
     wanted.released = true;
-    wanted.workers = tell_workers(now, true);
+    wanted.workers = build_worker_names(now, true);
     wanted.pending = pending_row(now);
-    ++ownership_generation_; // from here on nothing is sent to a worker
+    ++ownership_generation_; // callbacks of this ownership are dropped from now on
     role_ = role::released;
     write_release(wanted);
 }
 
 void flow_cell::write_release(const wire::flow_cell_row& wanted)
 {
-    acting_ = true;
+    row_request_in_flight_ = true;
     write_row(wanted, [this, wanted](instant then, const store_result& result) { on_released(then, wanted, result); });
 }
 
-// A renewal whose answer was lost may be in force: then the release is written over that. Without it the cell would be
-// followed as if its owner had been killed.
+// A renewal whose answer was lost may have been applied; the release is then written again on top of it. Without a
+// release the cell would be taken over only after the owner's silence, as if the owner had been killed.
 void flow_cell::on_released(instant now, const wire::flow_cell_row& wanted, const store_result& result)
 {
-    acting_ = false;
+    row_request_in_flight_ = false;
     if (result.outcome == table_outcome::conflict && !result.rows.empty()) {
         on_row_read(now, &result.rows.front());
-        const bool own = row_.incarnation == self_.incarnation.str() && row_.epoch == wanted.epoch && !row_.released;
-        if (own) {
+        const bool still_ours =
+            row_.incarnation == self_.incarnation.str() && row_.epoch == wanted.epoch && !row_.released;
+        if (still_ours) {
             write_release(wanted);
             return;
         }
@@ -762,48 +782,48 @@
     edges_.note(log_level::info, "cell", "released", {{"cell", id_.str()}, {"reason", result.reason}});
 }
 
-// --- jobs that wait ---
+// --- pending jobs ---
 
 std::optional<timestamped_count> flow_cell::count_pending(instant now) const
 {
     if (!job_watch_version() || !may_renew_leases(now)) {
         return std::nullopt;
     }
-    timestamped_count counted{{{}, watched_}, watched_at_, {}};
+    timestamped_count counted{{{}, job_watch_version_}, job_watch_asked_at_, {}};
     for (const auto& [id, job] : jobs_) {
         if (job->is_home_cell() && !job->begun() && !job->cancelled() && !job->ended()) {
-            ++(job->accepted_at() <= watched_ ? counted.count.jobs : counted.newer)[job->row().queue];
+            ++(job->accepted_at() <= job_watch_version_ ? counted.count.jobs : counted.newer)[job->row().queue];
         }
     }
     return counted;
 }
 
-// Failure: owners of a cell follow each other faster than one of them reads its rows, so that none can count the jobs
-// that wait. Symptom: nobody knows how many there are. So the last count goes from owner to owner with the cell's row.
+// Returns the count of pending jobs for the cell's row. When owners follow each other faster than one of them reads the
+// job rows, none can count the pending jobs; so the last known count is passed on from owner to owner in the row.
 wire::flow_pending_row flow_cell::pending_row(instant now) const
 {
-    const auto own = count_pending(now);
-    const auto heard = own ? std::optional(own->count) : hooks_.reported_pending_count(id_);
-    return heard && heard->up_to.value() >= row_.pending.up_to ? to_row(*heard) : row_.pending;
+    const auto still_ours = count_pending(now);
+    const auto latest = still_ours ? std::optional(still_ours->count) : hooks_.reported_pending_count(id_);
+    return latest && latest->up_to.value() >= row_.pending.up_to ? to_row(*latest) : row_.pending;
 }
 
 std::optional<row_version> flow_cell::job_watch_version() const
 {
-    return role_ == role::owning && parts_left_ == 0 ? std::optional(watched_) : std::nullopt;
+    return role_ == role::owning && parts_to_read_ == 0 ? std::optional(job_watch_version_) : std::nullopt;
 }
 
 void flow_cell::on_job_watch_advanced(row_version after, row_version up_to, std::optional<instant> asked)
 {
-    if (job_watch_version() && watched_ >= after) {
-        watched_ = std::max(watched_, up_to);
-        watched_at_ = std::max(watched_at_, asked.value_or(watched_at_));
+    if (job_watch_version() && job_watch_version_ >= after) {
+        job_watch_version_ = std::max(job_watch_version_, up_to);
+        job_watch_asked_at_ = std::max(job_watch_asked_at_, asked.value_or(job_watch_asked_at_));
     }
 }
 
 void flow_cell::on_news_read(instant asked)
 {
     if (job_watch_version()) {
-        watched_at_ = std::max(watched_at_, asked);
+        job_watch_asked_at_ = std::max(job_watch_asked_at_, asked);
     }
 }
 
--- a/src/flow_cell_p.h
+++ b/src/flow_cell_p.h
@@ -1,6 +1,20 @@
-// One cell: the workers of some racks of a data centre, or of all, with the flows bound to them. Its owner decides
-// where tasks run, holds the workers' leases, and makes ends durable before it confirms them. An entry that does not
-// own the cell watches its row and takes it over when the owner is gone.
+// A flow cell: the workers of some or all racks of a data centre, with the flows (jobs of tasks) bound to them. One
+// entry, a process of this service, owns the cell. The owner decides where tasks run, renews the workers' leases, and
+// writes the ends of runs to the table before it confirms them to the workers. Other entries watch the cell's row in
+// the table, and one of them takes the cell over when the owner is gone.
+//
+// Terms:
+// - hold: the exchange with a worker that renews its leases and returns what it runs and which runs have ended.
+// - order: a command to a worker.
+// - news: what an entry publishes to its peers; of a job: a row that another cell wrote for this one.
+// - hello: the periodic message in which peers exchange news.
+// - gang: a step whose tasks have to run at the same time.
+// - filling: work that uses processor time left over by serving tasks and is slowed down for them.
+// - lasting: a task that runs until it is stopped, for instance a serving task.
+// - fenced: of a worker: it has accepted the owner's epoch, and so refuses orders of earlier owners, and has reported
+//   its runs. The fence row of a part of the job rows makes the table refuse writes of earlier owners.
+// - epoch: a number that grows by one with each takeover of the cell.
+// - part: one of job_parts groups of a cell's job rows, each written under a fence of its own.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -25,70 +39,73 @@
 
 namespace skylarkhub {
 
-// The entry that speaks: its name, this life of it, and where its peers reach it.
+// This entry: its name, its incarnation (one run of its process), and the address at which its peers reach it.
 struct entry_identity {
     entry_id entry;
     incarnation_id incarnation;
     net_address address;
     data_centre_id data_centre;
-    double cores = 1; // of its processor, that it may use
+    double cores = 1; // processor cores that the entry may use
 };
 
-// How many tasks of some step a cell has room for.
+// The number of further tasks of a certain step that a cell has room for.
 struct flow_cell_room {
     cell_id cell;
     skylarkhub::epoch epoch;
     std::int32_t tasks = 0;
 };
 
-// free: a worker has it now. reservable: a worker has it once the tasks there that do not last have ended.
+// free: a worker has the room now. reservable: a worker has it once the tasks there that are not lasting have ended.
 enum class room_kind : std::uint8_t { free, reservable };
 
-// What a cell asks of the entry around it.
+// Functions of the surrounding entry that a cell calls.
 struct flow_cell_hooks {
-    std::function<const flow_queue*(const queue_id&)> queue; // null: not in the configuration
-    // Another cell with such room for one more task of such a step, with its epoch; empty when none is known.
+    std::function<const flow_queue*(const queue_id&)> queue; // null: the queue is not in the configuration
+    // Another cell that has room of this kind for one more task of the step, with its epoch; empty if none is known.
     std::function<std::optional<std::pair<cell_id, epoch>>(instant, const cell_id& from, const std::string& service,
                                                            const flow_step&, room_kind)>
         find_cell_with_room;
-    // The other cells with room for tasks of such a step, the one with most first.
+    // The other cells with room for tasks of the step, the one with the most room first.
     std::function<std::vector<flow_cell_room>(instant, const cell_id& from, const std::string& service,
                                               const flow_step&)>
         list_cells_with_room;
-    // The share of the processors of a service, in all cells heard of, that tasks take which do not fill.
+    // The share of a service's processors, over all cells with known news, that is used by tasks other than filling
+    // ones.
     std::function<double(instant, const std::string& service)> non_filling_cpu_share;
-    // A row that the owner of another cell must know.
+    // Sends a job's row to the owner of the cell that the row's name contains.
     std::function<void(instant, const job_row_name&, const wire::flow_job_row&, row_version)> notify_cell_owner;
-    // What is known of the jobs that wait in a cell whose rows are not read yet.
+    // The newest count of pending jobs that peers reported for a cell; empty if unknown.
     std::function<std::optional<pending_count>(const cell_id&)> reported_pending_count;
-    // The table has answered nobody that this entry hears from since `since`, and it hears from most entries.
+    // Whether the table has answered none of the entries known to this one since `since`, while most entries can be
+    // heard.
     std::function<bool(instant now, instant since)> table_outage;
-    // A state that is durable, for the entry that answers the caller.
+    // Publishes a job's state that the table has applied, for the entry that answers the caller.
     std::function<void(instant, const wire::flow_job_row&, const job_id&, flow_state)> publish_job_state;
 };
 
-// Why a task that is ready is not placed.
+// Why a ready task is not placed.
 enum class task_wait_reason : std::uint8_t {
-    not_received,  // this cell's row does not tell yet that it came here
-    may_still_run, // under an owner before, on a worker that has not told what it runs
-    owner_silent,  // the owner has not renewed for long and sends nothing
-    workers_not_listed,
-    no_worker, // none of its service and label takes starts
-    no_room,
+    not_received,       // the hand-off to this cell is not yet in this cell's row of the job
+    may_still_run,      // started by a previous owner, on a worker that has not reported its runs
+    owner_silent,       // the last renewal of the cell is too old, so this owner sends no orders
+    workers_not_listed, // no list of workers has arrived since the takeover
+    no_worker,          // no worker with its service and label accepts starts
+    no_room,            // no worker has enough free resources
 };
 
-// How this entry stands to the cell's owner and to other candidates.
+// This entry as a candidate for taking the cell over, and what is known of the current owner.
 struct cell_candidacy {
     bool owner_live = false;      // the owner's incarnation answers its peers
-    bool owner_leaving = false;   // and says that it is stopping
-    bool owner_restarted = false; // another life of the owner's entry is known
+    bool owner_leaving = false;   // the owner announces that it is stopping
+    bool owner_restarted = false; // a later incarnation of the owner's entry is known
     bool same_data_centre = false;
-    int rank = 0; // among live candidates of the same kind, 0 first
-    bool leaving = false;
+    int rank = 0;         // among live candidates of the same kind, 0 first
+    bool leaving = false; // this entry is stopping
 };
 
 class flow_cell {
 public:
+    // taking: a takeover is being written. reading: owned, the job rows are being read. released: given up on a stop.
     enum class role : std::uint8_t { watching, taking, reading, owning, released };
 
     flow_cell(cell_id id, entry_identity self, const flow_edges& edges, flow_cell_hooks hooks);
@@ -97,69 +114,76 @@
 
     const cell_id& id() const { return id_; }
     role current_role() const { return role_; }
-    // Owned, or a take of it is under way.
+    // True while this entry owns the cell or a takeover is under way.
     bool owns_or_is_taking_over() const { return owns() || role_ == role::taking; }
     bool owns() const { return role_ == role::owning || role_ == role::reading; }
-    // Of jobs. While the rows are read none can be told from one of a job that has ended before they were.
+    // Whether news of jobs can be processed. While the rows are read, an unknown job cannot be told from one that ended
+    // before.
     bool accepts_job_news() const { return role_ == role::owning; }
     skylarkhub::epoch epoch() const { return epoch_; }
     const wire::flow_cell_row& row() const { return row_; }
     const flow_cell_stats& stats() const { return stats_; }
     std::size_t job_count() const { return jobs_.size(); }
-    std::size_t waiting_count() const { return ready_.size(); } // jobs with tasks that wait for a worker
+    std::size_t waiting_count() const { return ready_.size(); } // jobs with ready tasks
 
     // --- events ---
     void on_workers_listed(instant now, const std::vector<flow_listed_worker>& workers);
-    // The cell's row as read now; empty when absent.
+    // The cell's row as read now; null if there is none.
     void on_row_read(instant now, const store_row* row);
-    // Some time has passed: renewals, takeovers, lapsed leases. Called every tick_interval.
+    // Handles renewals, takeovers and lapsed leases. Called every tick_interval.
     void tick(instant now, const cell_candidacy& candidacy);
-    // A row of a job that may concern this cell, as it is in the table.
+    // A row of a job in the table that may concern this cell.
     void on_job_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
-    // The version up to which the table of jobs is known here; empty while it is read as a whole, or not owned.
+    // The version up to which this owner knows the table of jobs; empty while the table is read as a whole, or the cell
+    // is not owned.
     std::optional<row_version> job_watch_version() const;
-    // Every row of the table of jobs that changed after the one version and up to the other was given to on_job_row().
-    // A cell that was taken while the look was under way may know less than `after`: it is looked for again from there.
-    // `asked`: when, of a look that showed all there was.
+    // Every row of the table of jobs that changed after the first version and up to the second was given to
+    // on_job_row(). Ignored if this owner's own version is older than `after`, as after a takeover during the read; the
+    // changes are then requested from that version on. `asked`: when the read was requested, if it returned all changes
+    // there were.
     void on_job_watch_advanced(row_version after, row_version up_to, std::optional<instant> asked);
-    // All news that there were when they were asked for were given to on_job_row(), from reads that show no version.
+    // All news that existed at the time `asked` were given to on_job_row(). The reads that returned them have no
+    // version.
     void on_news_read(instant asked);
-    // The table has discarded changes that were not seen here.
+    // The table has discarded changes that this entry had not read, so an owner reads all job rows again.
     void on_job_history_compacted(instant now);
-    // Carries out what the events since the last call have made due. Called after every event.
+    // Does the work that the events since the last call have made due. Called after every event.
     void run_deferred_work(instant now);
-    // A planned stop: nothing more is started, what is known is written, the row is released.
+    // Begins a planned stop: no more tasks are started, unwritten changes are written, the row is released.
     void plan_stop(instant now);
-    bool stopped() const { return (role_ == role::released && !acting_) || role_ == role::watching; }
+    bool stopped() const { return (role_ == role::released && !row_request_in_flight_) || role_ == role::watching; }
 
-    // What peers are told; only of an owner.
+    // The news that peers receive of this cell; only valid for an owner.
     wire::flow_cell_news news(instant now) const;
-    // The same for a hello: made anew every news_cache_ttl only, with presses in some of them.
+    // The same for a hello, rebuilt only every news_cache_ttl. Some of them include the learned presses: coefficients,
+    // by pair of serving and filling image, of how strongly the filling work slows the serving tasks beside it.
     const wire::flow_cell_news& cached_news(instant now);
-    // What the owner of another cell has learned of images.
+    // Learned presses, as received from the owner of another cell.
     void hint_presses(const std::map<std::string, double>& presses);
-    // The jobs that wait here. Empty while the rows are read, and when this owner may have been followed without
-    // knowing.
+    // The number of pending jobs, by queue. Empty while the rows are read, and when this owner may have been followed
+    // unnoticed.
     std::optional<timestamped_count> count_pending(instant now) const;
-    // Bound to this cell and not ended; null when unknown.
+    // A job that is bound to this cell and has not ended; null if unknown.
     const flow_job* find_job(const job_id& job) const;
 
 private:
+    // An end of a run that a worker reported; it is confirmed to the worker once the job's row with it is written.
     struct unconfirmed_end {
         end_number number;
         job_id job;
-        std::uint64_t changes = 0; // of the job, that tell this end
+        std::uint64_t changes = 0; // change count of the job that includes this end
     };
-    // The serving tasks of one job's step on a worker: they share an image and a load.
+    // The serving tasks of one job's step on a worker. They share an image and a load.
     struct serving_group {
         job_id job;
         int image = 0;
         std::int32_t tasks = 0;
-        double tolerated_pressure =
-            0; // pressure of filling work that leaves their tails below target, at their load now
-        double mean_tolerated_pressure = 0; // the same over the next seconds: for work that stays
+        // Pressure of filling work at which the tail latencies stay below target, at the present load.
+        double tolerated_pressure = 0;
+        // The same, averaged over the next seconds; for work that runs longer.
+        double mean_tolerated_pressure = 0;
     };
-    // What a worker told before the rows of the cell's jobs had been read.
+    // What a worker reported before the rows of the cell's jobs had been read.
     struct buffered_inventory {
         instant sent{};
         order_answer answer;
@@ -167,65 +191,68 @@
     struct cell_worker {
         flow_listed_worker listing;
         bool listed = false;
-        bool incarnation_ended = false;          // another life answers at its address, whatever the list says
-        bool named = false;                      // in the cell's row as it stands in the table
-        bool fenced = false;                     // accepted this epoch and told what runs
-        bool inherited = false;                  // the owner before may have started tasks there
-        std::optional<buffered_inventory> early; // while the rows are read: it has accepted this epoch
+        // A later incarnation answers at its address, even if the list still has this one.
+        bool incarnation_ended = false;
+        bool named = false;                      // the cell's row in the table names the worker
+        bool fenced = false;                     // it has accepted this epoch and reported its runs
+        bool inherited = false;                  // the previous owner may have started tasks there
+        std::optional<buffered_inventory> early; // set while the rows are read, once it has accepted this epoch
         bool has_accepted_epoch() const { return fenced || early; }
-        bool lapsed = false;           // not asked yet, and every lease that owners before gave has certainly ended
-        bool published_silent = false; // the cell's row may say so: no lease is given to it
+        bool lapsed = false;           // inherited, not fenced by the time every lease of previous owners had ended
+        bool published_silent = false; // the cell's row may mark it as silent: it is given no lease
         std::optional<worker_time> reading;
         instant clock_read_at{};
-        instant lapsed_after{};      // by then every lease given by this cell's owners has certainly ended
-        bool hold_in_flight = false; // a hold is under way
+        instant lapsed_after{}; // when every lease given by owners of this cell has certainly ended
+        bool hold_in_flight = false;
         bool hold_planned = false;
         instant last_answer{};
-        std::int32_t silent = 0;    // holds without an answer in a row
-        instant unanswered_since{}; // when the first of these was due; instant{}: none is
+        std::int32_t silent = 0;    // consecutive holds without an answer
+        instant unanswered_since{}; // when the first of these holds was due; instant{}: there is none
         end_number seen;
         end_number confirmed;
         std::vector<unconfirmed_end> unconfirmed;
-        std::vector<reported_end> unknown_job_ends; // of jobs that are not known; their rows are being read
-        absl::btree_map<flow_task_id, ledger_run> ledger;
-        std::int32_t untracked_runs = 0; // runs it lists that the ledger does not have
-        resources held;
+        std::vector<reported_end> unknown_job_ends;       // ends of runs of unknown jobs, whose rows are being read
+        absl::btree_map<flow_task_id, ledger_run> ledger; // runs here, with those whose start is not yet sent
+        std::int32_t untracked_runs = 0;                  // runs that the worker lists and the ledger does not have
+        resources held;                                   // by the runs in the ledger
         std::int64_t filling_cpu = 0;
         std::int32_t serving = 0;
         std::int32_t filling_task_count = 0;
         instant no_starts_until{};
-        double distrust = 0;
+        double distrust = 0; // grows with failures of the worker
         instant distrust_at{};
         // Interference.
         std::vector<serving_group> serving_groups; // one for each job that serves there
-        std::vector<double> shares;                // of its processors by filling image, smoothed
-        std::vector<double> wanted;                // the same at full pace, as the ledger has it
+        std::vector<double> shares;                // measured share of its processors by filling image, smoothed
+        std::vector<double> wanted;                // share by filling image at full pace, from the ledger
         std::vector<int> paces;                    // percent, by filling image
         instant measured_at{};
         instant tightened_at{};
-        instant over_target_since{}; // a serving task has been over its target since; instant{}: none is
-        double tolerance_margin = 1; // of what serving tasks are believed to bear; less after a strain
-        double tail = 0;             // the worst there at the newest look, as a share of its target
+        instant over_target_since{}; // since when a serving task is over its target; instant{}: none is
+        // Factor on the tolerated pressure; lowered after a serving task was over its target.
+        double tolerance_margin = 1;
+        double tail = 0; // worst tail latency at the last measurement, as a share of its target
         instant next_evict{};
-        std::int64_t lasting_cpu = 0; // committed to lasting tasks, which use less than half of it on the whole
+        // Millicores committed to lasting tasks, which use less than half of them on average.
+        std::int64_t lasting_cpu = 0;
         std::int64_t lasting_memory = 0;
-        instant reserved_until{};      // for a lasting task that waits: nothing else is started there
-        std::uint64_t reserved_in = 0; // the pass over waiting tasks in which it was reserved last
+        instant reserved_until{};      // reserved for a waiting lasting task: nothing else is started there
+        std::uint64_t reserved_in = 0; // the placement pass in which it was last reserved
         bool is_reserved(instant now) const { return now < reserved_until; }
-        std::optional<flow_task_id> dedicated_to; // a task that may crash it: nothing else is started there
+        std::optional<flow_task_id> dedicated_to; // the worker runs only this task, which may crash it
         instant dedicated_until{};
         std::map<flow_task_id, std::int32_t> paced;
     };
 
-    // The rows of one part that this owner writes.
+    // The state of the rows of one part that this owner writes.
     struct part_state {
-        std::optional<row_version> fence; // of this owner's; empty: not written yet, or being written anew
-        row_version fence_in_doubt;       // that a write which may still come into force was checked against
-        bool read = false;                // since the takeover
-        bool planned = false;
+        std::optional<row_version> fence;  // version of this owner's fence row; empty: the fence is being written
+        row_version unknown_outcome_fence; // fence version that a write of unknown outcome was checked against
+        bool read = false;                 // the rows have been read since the takeover
+        bool planned = false;              // a commit is scheduled for `due`
         instant due{};
-        instant held_until{};                               // no try before, after one that failed
-        std::map<job_id, instant> dirty;                    // and since when
+        instant no_commit_before{};                         // wait after a failed commit
+        std::map<job_id, instant> dirty;                    // jobs with unwritten changes, and since when
         std::map<job_id, std::vector<store_key>> removable; // rows of jobs that have ended
         instant removals_due{};
         bool in_flight = false; // a write is under way
@@ -236,18 +263,18 @@
         {
             const bool rows = planned && !dirty.empty() && due <= now;
             const bool removals = !removable.empty() && removals_due <= now;
-            return (rows || removals) && held_until <= now && !in_flight && fence;
+            return (rows || removals) && no_commit_before <= now && !in_flight && fence;
         }
     };
 
     // A job's row as it was sent to the table.
     struct committed_row {
         job_id job;
-        std::uint64_t changes = 0; // of the job, that it tells
+        std::uint64_t changes = 0; // change count of the job that the row includes
         wire::flow_job_row row;
-        std::vector<cell_id> told; // the cells that the same write has news for
+        std::vector<cell_id> told; // the cells for which the same write has news
 
-        // The owner of the job's cell knows what was asked; another one may not know the job yet.
+        // The owner of the job's home cell knows the specification of the job; other owners may not know the job yet.
         wire::flow_job_row news_for(const cell_id& cell) const
         {
             return cell.str() == row.cell ? without_spec(row) : row;
@@ -256,36 +283,45 @@
 
     // flow_cell_ownership.cpp
     void consider_takeover(instant now, const cell_candidacy& candidacy);
+    // Takes the cell only if one of its workers answers this entry.
     void probe_then_take();
     void take(instant now);
     void on_taken(instant now, const wire::flow_cell_row& wanted, const store_result& result);
     void fence_part(const std::string& part, row_version known);
     void on_fenced(instant now, const std::string& part, const store_result& result);
-    void use_fence(instant now, const std::string& part, row_version version);
-    void fence_anew(const std::string& part);
+    void adopt_fence(instant now, const std::string& part, row_version version);
+    // Writes a part's fence again, so that a write of unknown outcome is refused if it arrives later.
+    void refence_part(const std::string& part);
     void read_all_jobs(instant now);
-    void begin_part();
+    // Parts are fenced and read one after another, several at a time.
+    void begin_next_part();
     void read_part(const std::string& part, const char* table, const std::string& from);
     void on_part_read(instant now, const std::string& part, const char* table, const store_page& page);
-    void end_part(instant now, const std::string& part);
-    void take_part(instant now, const std::string& part);
+    void finish_part_read(instant now, const std::string& part);
+    void process_part_rows(instant now, const std::string& part);
     void become_owner(instant now);
     void write_row(const wire::flow_cell_row& wanted, std::function<void(instant, const store_result&)> done);
     void renew(instant now);
-    std::vector<wire::flow_worker_name> tell_workers(instant now, bool releasing);
+    // The workers for the cell's row, with remaining lease times for a follower.
+    std::vector<wire::flow_worker_name> build_worker_names(instant now, bool releasing);
     wire::flow_pending_row pending_row(instant now) const;
-    void note_named(const wire::flow_cell_row& row);
-    void know_named(const wire::flow_cell_row& row);
-    void bound_inherited(const wire::flow_cell_row& row);
+    // Records which workers the row that is now in the table names.
+    void mark_named_workers(const wire::flow_cell_row& row);
+    // Adds workers that the previous owner's row names.
+    void inherit_named_workers(const wire::flow_cell_row& row);
+    // Sets when the leases given by previous owners have certainly ended.
+    void bound_inherited_leases(const wire::flow_cell_row& row);
     void lose_ownership(instant now, const std::string& reason);
     void release(instant now);
+    // Whether nothing is left to wait for before a release.
     bool is_settled() const;
     void write_release(const wire::flow_cell_row& wanted);
     void on_released(instant now, const wire::flow_cell_row& wanted, const store_result& result);
     bool may_send_orders(instant now) const;
     bool may_renew_leases(instant now) const;
     bool may_expire_leases(instant now) const;
-    bool is_unfollowed(instant now, duration hold) const;
+    // Whether no other entry can have taken the cell: the last renewal is recent enough, or the table is down.
+    bool is_unfollowed(instant now, duration max_renewal_age) const;
     void read_row(instant now);
 
     // flow_cell_workers.cpp
@@ -295,38 +331,49 @@
     void process_buffered_inventories(instant now);
     void process_inventory(instant now, cell_worker& w, instant sent, const order_answer& answer);
     void process_end(instant now, cell_worker& w, const reported_end& end);
-    void leave_ends(const job_id& job, const std::vector<reported_end>& ends);
+    // Write ends known to a superseded owner into rows that the current owner reads.
+    void write_late_ends(const job_id& job, const std::vector<reported_end>& ends);
     void persist_listed_ends(const order_answer& answer);
-    void leave_unwritten_ends();
+    void persist_unwritten_ends();
+    // Reads the rows of a job that this owner does not know, to learn whether it has ended or belongs to this cell.
     void read_unknown_job(const job_id& job);
     void ask_unknown_job(const job_id& job);
+    // Processes ends that workers reported of a job before its rows were read.
     void process_unknown_ends(instant now, const job_id& job);
     void process_running(instant now, cell_worker& w, const reported_run& run);
     void process_stray_run(instant now, const cell_worker& w, const reported_run& run);
+    // Adopts runs that workers listed of a job before its rows were read.
     void adopt_stray_runs(instant now, flow_job& job);
     void notify_job_ended(instant now, const job_id& job, const wire::flow_job_row& index,
                           const std::vector<store_row>& rows);
     void on_unknown_index(const job_id& job, const store_page& page);
     void on_unknown_job(instant now, const job_id& job, const std::vector<store_row>& rows);
+    // Adds a run that a worker lists and that is not in the ledger of this owner.
     void adopt_run(instant now, cell_worker& w, flow_job& job, const reported_run& run);
     void drop_vanished_runs(instant now, cell_worker& w, instant sent, const order_answer& answer);
     void confirm_ends(cell_worker& w);
     enum class worker_loss_cause : std::uint8_t { crashed, lapsed };
     void on_incarnation_ended(instant now, cell_worker& w);
+    // Marks a worker that was never fenced as lapsed once its last lease has certainly ended.
     void note_lapsed(instant now, cell_worker& w);
     void declare_lost_if_lapsed(instant now, cell_worker& w);
     void on_worker_lost(instant now, cell_worker& w, worker_loss_cause how);
     void log_lost_run(instant now, const cell_worker& w, const flow_task_id& task, run_number run) const;
+    // Handles an answer that shows a follower of this owner, or the end of the worker's incarnation.
     bool handle_fatal_result(instant now, cell_worker& w, order_result result);
-    // Nothing is left to do there: it is not in use, and nothing is known to run.
+    // Whether the worker can be forgotten: it is no longer listed, and nothing is known to run there.
     static bool is_idle_and_unlisted(const cell_worker& w);
     void check_lapsed(instant now);
+    // The end of a lease given now, on the worker's clock; empty if that clock was never read.
     std::optional<worker_time> lease_end(const cell_worker& w, instant now) const;
     void note_lease(cell_worker& w, instant now) const;
     static void note_epoch_accepted(cell_worker& w, instant now);
     worker_place place_of(const cell_worker& w) const { return {w.listing.worker, w.listing.address}; }
+    // Whether every inherited worker is fenced, or has lapsed without an answer.
     bool all_workers_reconciled(instant now) const;
+    // Once all workers are reconciled, tasks that none of them lists may be started.
     void finish_reconciliation(instant now);
+    // Adds to the worker's distrust, a score that decays over time.
     void distrust(instant now, cell_worker& w, double amount);
 
     // flow_cell_crashes.cpp
@@ -335,27 +382,32 @@
         run_number run;
         run_in_crash in_crash;
     };
-    // What was lost on a worker whose leases have ended, and which may have crashed.
+    // The runs lost on a worker whose leases have ended, and which may have crashed.
     struct lapsed_worker {
         worker_id worker;
         std::vector<lost_run> runs;
         instant at{};
     };
+    // Records the runs on a worker that stopped answering as possible causes of a crash.
     void note_silence(instant now, const cell_worker& w);
+    // The number of runs on the worker whose tasks are charged with a crash.
     std::int64_t count_charged(const cell_worker& w) const;
     std::vector<lost_run> list_lost_runs(const cell_worker& w);
     void charge_runs(instant now, const worker_id& worker, const std::vector<lost_run>& lost);
     std::optional<wire::crash_row> add_crash_row(instant now, const worker_id& worker, const lost_run& lost);
     void record_crash(instant now, const worker_id& worker, const lost_run& lost);
+    // Charges a crash to tasks whose start record names a worker whose incarnation is over.
     void charge_noted(instant now, const std::function<bool(const worker_id&)>& is_over);
     void charge_crash_of(instant now, const cell_worker& w);
     void record_lapsed_worker(instant now, const cell_worker& w);
+    // Removes the crashes charged for a worker that turned out to have been cut off.
     void retract_lapsed_crashes(const lapsed_worker& life);
     void charge_lapsed_worker(instant now, const flow_listed_worker& listing);
     void log_given_up(const flow_job& job) const;
     bool needs_dedicated_worker(instant now, const flow_step& step, const flow_task& task) const;
     static bool starts_without_checkpoint(const flow_job& job, const flow_stage& stage, const flow_task& task);
     static bool is_dedicated(instant now, const cell_worker& w);
+    // Whether no run on the worker started so recently that it may still crash it.
     bool is_settled_on(instant now, const cell_worker& w);
     bool needs_frequent_polling(instant now, const cell_worker& w);
     bool has_unsettled_dedicated_run(instant now, const flow_job& job);
@@ -365,18 +417,22 @@
     static void begin_dedicated_run(instant now, cell_worker& w, const flow_task& task);
 
     // flow_cell_start_records.cpp
+    // Whether it is certain that the task runs nowhere and may be started here.
     bool may_start(const flow_job& job, const flow_stage& stage, const flow_task& task) const;
-    bool starts_are_noted(instant now) const;
+    // Whether the cell's row may say that every run has a start record.
+    bool are_all_starts_recorded(instant now) const;
+    // Writes a start record; send_recorded_starts() sends the start once the record is written.
     void record_then_start(instant now, flow_job& job, const flow_task_id& task, live_run& live);
-    void send_noted(instant now, flow_job& job);
+    void send_recorded_starts(instant now, flow_job& job);
+    // Drops runs whose start was recorded but not sent.
     void drop_unsent(instant now, const flow_task& task, const flow_task_id& id);
 
     // flow_cell_drain.cpp
-    void vacate_draining(instant now);
-    void vacate(instant now, cell_worker& w);
+    void drain_workers(instant now);
+    void move_lasting_tasks_off(instant now, cell_worker& w);
 
     // flow_cell_runs.cpp
-    // What is known of a run; null where it is not known (any more).
+    // What is known of a run; each pointer is null if its object is unknown.
     struct run_lookup {
         cell_worker* worker = nullptr;
         flow_job* job = nullptr;
@@ -399,14 +455,18 @@
     void ledger_remove(cell_worker& w, const flow_task_id& task, run_number run);
     void mitigate_straggler(instant now, cell_worker& w, flow_job& job, ledger_run& run, const reported_run& seen);
     void start_on(instant now, flow_job& job, flow_stage& stage, std::size_t index, cell_worker& w, run_number run);
+    // The worker has accepted the run.
     void confirm_start(instant now, flow_job& job, live_run& live);
+    // Handles a start that was not accepted, or must not be sent any more.
     void withdraw_start(instant now, cell_worker& w, flow_job& job, const flow_task_id& task, run_number run,
                         int tries);
     void requeue(instant now, flow_job& job, const flow_task_id& task);
+    // Stops other runs of a task that is done, and ends the job or continues with its next steps.
     void after_done(instant now, flow_job& job, const flow_task_id& task);
     bool out_of_attempts(const flow_job& job, const flow_task& task) const;
     bool has_exhausted_task(const flow_job& job) const;
     void end_job(instant now, flow_job& job, flow_state outcome);
+    // Adds the job to the demand of its service, if this is its home cell.
     void note_demand(instant now, const flow_job& job);
     std::unique_ptr<flow_job> read_job(const job_id& id, const std::vector<store_row>& rows) const;
     void process_job_rows(instant now, const job_id& id, const std::vector<store_row>& rows);
@@ -414,8 +474,10 @@
     void read_rows(const job_id& job, std::function<void(instant, const std::vector<store_row>*)> done);
     void on_new_row(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
     void adopt_job(instant now, std::unique_ptr<flow_job> made);
+    // Ends the job if its outcome is certain, in its home cell only.
     void end_if_decided(instant now, flow_job& job);
     void mark_job_dirty(instant now, flow_job& job, bool urgent);
+    // Gives up ownership if the job's rows show a later epoch of this cell.
     bool step_down_if_superseded(instant now, const flow_job& job);
     void forget_job(instant now, job_id id);
 
@@ -423,8 +485,8 @@
     void schedule_placement() { placement_scheduled_ = true; }
     void place_ready(instant now);
     bool place_stage(instant now, flow_job& job, flow_stage& stage);
-    // `near`: the rack where the rest of a gang is; invalid: none. `patience`: how long filling work waits for a place
-    // that bears it.
+    // `near`: the rack where the rest of a gang is; invalid: none. `patience`: how long filling work waits for a worker
+    // whose serving tasks tolerate it.
     cell_worker* choose_worker(instant now, const flow_job& job, const flow_stage& stage, const flow_task& task,
                                const rack_id& near = rack_id(),
                                duration patience = flow_limits::fill_interference_wait);
@@ -433,6 +495,7 @@
     placement_candidate option_of(instant now, const cell_worker& w) const;
     void index_ready(flow_job& job);
     void drop_ready(const job_id& job);
+    // Recomputes the urgency of waiting jobs, which grows while they wait.
     void index_ready_again();
     void notify_other_cells(instant now, const committed_row& written, row_version version);
     void open_due_stages(instant now);
@@ -440,52 +503,61 @@
     // flow_cell_log.cpp
     struct task_wait {
         task_wait_reason reason = task_wait_reason::no_room;
-        worker_id worker; // where it may still run; invalid: nowhere
+        worker_id worker; // where the task may still run; invalid: nowhere
     };
-    task_wait why_waits(instant now, const flow_job& job, const flow_stage& stage, const flow_task& task) const;
-    void log_waits(instant now);
+    task_wait find_wait_reason(instant now, const flow_job& job, const flow_stage& stage, const flow_task& task) const;
+    void log_waiting_tasks(instant now);
     void log_summary(instant now) const;
 
     // flow_cell_moves.cpp
-    void give_away_waiting(instant now);
-    int give_away_tasks(instant now, flow_job& job, flow_stage& stage, int most);
+    void hand_off_waiting_tasks(instant now);
+    int hand_off_stage_tasks(instant now, flow_job& job, flow_stage& stage, int max_tasks);
     void move_task_to_cell(instant now, flow_job& job, const flow_task_id& task,
                            const std::pair<cell_id, skylarkhub::epoch>& to);
-    std::optional<std::pair<cell_id, skylarkhub::epoch>> find_place_elsewhere(instant now, const flow_job& job,
-                                                                              const flow_stage& stage);
+    // Another cell with free room, or for a lasting task with a worker that can be reserved.
+    std::optional<std::pair<cell_id, skylarkhub::epoch>> find_cell_for_task(instant now, const flow_job& job,
+                                                                            const flow_stage& stage);
     static bool is_reservable(const cell_worker& w, const flow_job& job, const flow_stage& stage);
+    // The number of tasks of the stage that run, or are about to, on the worker.
     static std::int32_t count_stage_runs(const cell_worker& w, const flow_job& job, const flow_stage& stage);
-    bool can_make_room(const flow_job& job, const flow_stage& stage);
+    // Counts one promised reservation if it returns true.
+    bool can_reserve_worker(const flow_job& job, const flow_stage& stage);
     void reserve_worker(instant now, const flow_job& job, const flow_stage& stage);
 
     // flow_cell_gangs.cpp
     bool can_join_gang(const flow_job& job, const flow_stage& stage) const;
+    // Spreads a waiting gang over cells, or returns its members; true when the job's row has to be written.
     bool move_gang(instant now, flow_job& job, flow_stage& stage);
     bool spread_gang(instant now, flow_job& job, flow_stage& stage);
     bool give_back_gang(instant now, flow_job& job, flow_stage& stage);
-    std::int32_t count_ever(const flow_job& job, const flow_stage& stage) const;
-    std::int32_t count_fitting(instant now, flow_job& job, flow_stage& stage);
+    std::int32_t count_gang_capacity(const flow_job& job, const flow_stage& stage) const;
+    std::int32_t count_placeable_members(instant now, flow_job& job, flow_stage& stage);
     void stop_incomplete_gangs(instant now, flow_job& job);
 
     // flow_cell_commit.cpp
+    // Schedules a commit of the part's changes after `wait`.
     void commit_soon(instant now, const std::string& part, duration wait);
-    static std::vector<job_id> pick_group(const part_state& state);
+    static std::vector<job_id> pick_rows_to_commit(const part_state& state);
     void send_rows(const std::string& part, const std::vector<job_id>& ids);
     committed_row row_of(const flow_job& job) const;
     void add_row(store_transaction& t, const flow_job& job, const committed_row& row) const;
     void send_removals(instant now, const std::string& part);
-    void drop_clean(instant now, part_state& state);
+    // Removes jobs without unwritten changes from state.dirty.
+    void drop_written_jobs(instant now, part_state& state);
     void commit_part(instant now, const std::string& part);
     void on_committed(instant now, const std::string& part, const std::vector<committed_row>& rows,
                       const store_result& result);
     void after_written(instant now, flow_job& job);
+    // Confirms to the workers every end that has been written.
     void confirm_all(instant now);
 
     // flow_cell_pace.cpp
     void process_measurements(instant now, cell_worker& w, const order_answer& answer);
+    // Updates the interference model with what a worker measured.
     void learn(cell_worker& w, const order_answer& answer);
     void set_paces(instant now, cell_worker& w);
     void send_paces(instant now, cell_worker& w);
+    // Moves filling work that is slowed almost to a stop to a worker where it can run.
     void evict_throttled_filling(instant now, cell_worker& w);
     int image_of(const flow_step& step);
     void adjust_image_usage(cell_worker& w, const job_id& job, const ledger_run& run, int change);
@@ -494,9 +566,10 @@
     expected_interference filling_interference(const cell_worker& w, int filling, double share) const;
     std::string serving_image(const cell_worker& w) const;
     void add_filling_capacity(const cell_worker& w, wire::flow_pool_row& pool) const;
+    // By how much the filling work there exceeds what a serving task of the image would tolerate.
     double compute_excess_pressure(const cell_worker& w, int serving) const;
 
-    // A run that a worker lists, of a job that is not known here.
+    // A run that a worker lists, of a job that this owner does not know.
     struct stray_run {
         worker_id worker;
         flow_task_id task;
@@ -504,16 +577,16 @@
         friend auto operator<=>(const stray_run&,
                                 const stray_run&) = default; // NOLINT(modernize-use-nullptr): wrong in clang-tidy 14
     };
-    // What somebody has told of a job.
+    // A row of a job as received from a peer or from the table.
     struct reported_job_row {
         job_row_name name;
         wire::flow_job_row row;
         row_version version;
     };
-    // A job that is not known here and whose rows are being read.
+    // A read of the rows of an unknown job.
     struct job_reading {
         std::set<stray_run> strays;
-        std::vector<reported_job_row> told; // since the read began
+        std::vector<reported_job_row> told; // received since the read began
     };
     struct ready_key {
         flow_urgency urgency;
@@ -532,59 +605,60 @@
     bool row_known_ = false; // read at least once
     bool row_present_ = false;
     row_version row_version_;
-    row_version row_read_version_;  // of the table, when the row was last read
-    instant row_unchanged_since_{}; // or its owner was heard of
-    instant row_seen_at_{};         // first, as it is now: the renewal that wrote it was sent before
+    row_version row_read_version_;  // version of the table when the row was last read
+    instant row_unchanged_since_{}; // since when the row is unchanged and nothing was heard of its owner
+    instant row_seen_at_{}; // when the present version was first seen; the renewal that wrote it was sent before
     instant row_read_at_{};
-    instant row_answered_at_{}; // when it was last read with success
+    instant row_read_succeeded_at_{}; // when the row was last read successfully
     bool reading_row_ = false;
-    bool take_in_doubt_ = false; // the answer to the newest take was lost
-    bool acting_ = false;        // a take, renewal or release is under way
+    bool take_outcome_unknown_ = false;  // the answer to the last take was lost
+    bool row_request_in_flight_ = false; // a take, renewal or release, or the probe before a take, is under way
     skylarkhub::epoch epoch_;
     instant renewed_{}; // when the last renewal that succeeded was sent
     instant taken_at_{};
     bool workers_listed_since_takeover_ = false;
     instant stop_planned_at_{};
-    instant old_owner_silent_{}; // from then on the owner before certainly sends nothing
-    bool fresh_ = false;         // nobody owned it before
+    instant previous_owner_silent_from_{}; // when the previous owner has certainly stopped sending
+    bool never_owned_before_ = false;      // no entry owned the cell before; false once this one is the owner
     bool stopping_ = false;
     instant next_renewal_{};
-    std::uint64_t ownership_generation_ = 0; // of an ownership; callbacks of an earlier one are dropped
-    row_version takeover_scan_version_;      // every job that went on at this version was read at the takeover
-    row_version watched_;                    // the jobs table is known up to here
-    instant watched_at_{};                   // when what showed that was asked for
-    instant next_give_away_{};
+    std::uint64_t ownership_generation_ = 0; // number of this ownership; callbacks of earlier ones are dropped
+    row_version takeover_scan_version_;      // every job that had not ended at this version was read at the takeover
+    row_version job_watch_version_;          // version up to which the table of jobs is known
+    instant job_watch_asked_at_{};           // when the read that showed this was requested
+    instant next_handoff_pass_{};
     instant next_summary_{};
     instant next_waits_log_{};
-    instant next_vacating_{};
-    int parts_left_ = 0;
-    int next_part_ = 0;                                                         // whose reading has not begun
-    std::map<std::string, std::map<job_id, std::vector<store_row>>> read_rows_; // by part, of parts that are being read
+    instant next_drain_pass_{};
+    int parts_to_read_ = 0;
+    int next_part_to_read_ = 0; // the next part whose read has not begun
+    // Job rows by part, for parts that are being read.
+    std::map<std::string, std::map<job_id, std::vector<store_row>>> read_rows_;
     std::map<job_id, job_reading> job_reads_in_flight_;
 
     std::map<worker_id, cell_worker> workers_;
     std::map<job_id, std::unique_ptr<flow_job>> jobs_;
-    std::set<ready_key> ready_; // jobs with tasks that wait for a worker, the most urgent first
+    std::set<ready_key> ready_; // jobs with ready tasks, the most urgent first
     std::map<job_id, ready_key> ready_keys_;
-    std::set<job_id>
-        unreconciled_jobs_; // known since the takeover; may_start() tells for which tasks that means a wait
+    // Jobs left by a previous owner, until all its workers have reported; may_start() says which tasks wait for that.
+    std::set<job_id> unreconciled_jobs_;
     std::set<job_id> timed_jobs_;
-    std::map<job_id, instant> recently_ended_jobs_; // ended jobs, until no late page can tell of them any more
+    std::map<job_id, instant> recently_ended_jobs_; // kept while a late page of the table may still contain them
     crash_watch<flow_task_id> recent_crashes_;
     std::map<net_address, lapsed_worker> lapsed_workers_;
-    bool isolated_task_waits_ = false; // a task waits for a worker to itself
+    bool isolated_task_waits_ = false; // a task waits for a dedicated worker
     std::map<std::string, part_state> parts_;
     interference_model interference_;
-    load_forecast loads_;                        // of jobs that serve
-    std::map<std::string, batch_demand> demand_; // by service, of the jobs bound here
+    load_forecast loads_;                        // of serving jobs
+    std::map<std::string, batch_demand> demand_; // by service, of the jobs bound to this cell
     instant refitted_at_{};
     bool placement_scheduled_ = false;
     std::uint64_t placing_pass_ = 0;
     int reserved_in_pass_ = 0;
-    int kept_in_round_ = 0; // of giving away: tasks that wait for a worker to be kept free
+    int promised_reservations_ = 0; // in this hand-off or drain pass: tasks for which a worker here can be reserved
     wire::flow_cell_news cached_news_;
     instant cached_news_at_{};
-    std::uint64_t cached_news_generation_ = 0; // one more than the ownership it was made in; 0: none was
+    std::uint64_t cached_news_generation_ = 0; // ownership_generation_ + 1 when the news were built; 0: never built
     instant presses_sent_since_{};
     flow_cell_stats stats_;
 };
--- a/src/flow_cell_start_records.cpp
+++ b/src/flow_cell_start_records.cpp
@@ -1,10 +1,10 @@
-// Starts that the job's row tells before they are sent.
+// Start records: for some steps the job's row names the worker of a task's newest start before the start is sent.
 //
-// Failure: an owner is followed while one of its workers cannot be asked. Symptom: its follower cannot tell what runs
-// there, and all tasks that last wait until every lease has ended, on whichever worker they were. With the starts in
-// the row only the tasks whose newest start names that worker wait. That is enough because a start is sent only once
-// the table has applied its note, and because a follower fences the part of the row before it reads: a note of an owner
-// before it is in force by then, and read, or is refused, and its start is not sent.
+// An owner may be followed while one of its workers does not answer. Without records the follower cannot know what runs
+// on that worker, and all lasting tasks would wait until every lease there has ended. With records only the tasks whose
+// newest start names that worker wait. That is sufficient because a start is sent only once the table has applied its
+// record, and because a follower fences the part before it reads the rows: a record of the previous owner has then
+// either been applied, and is read, or is refused, and its start is never sent.
 #include <algorithm>
 #include <vector>
 
@@ -12,8 +12,8 @@
 
 namespace skylarkhub {
 
-// False while the task may run on a worker that has not told yet what it runs, or may start in another cell or under an
-// earlier owner of this one.
+// Whether the task may be started now. False while it may run on a worker that has not reported its runs yet, or may be
+// started in another cell or by an earlier owner of this cell.
 bool flow_cell::may_start(const flow_job& job, const flow_stage& stage, const flow_task& task) const
 {
     if (!job.is_transfer_persisted(task)) {
@@ -25,22 +25,23 @@
     if (!persists_starts(job.step(stage)) || !row_.starts_noted || !job.row().starts_noted) {
         return false;
     }
-    // A worker that the owner before no longer named ran nothing of this cell any more.
+    // A worker that the previous owner no longer named runs nothing of this cell.
     const auto at = workers_.find(worker_id(task.start.worker));
     return at == workers_.end() || at->second.fenced || !at->second.inherited || at->second.lapsed;
 }
 
-// An owner of an earlier release starts tasks without a note. Those that it left are noted as they are found; once
-// nothing is left to be found and all notes are written, the cell's row may say so.
-bool flow_cell::starts_are_noted(instant now) const
+// Whether every run in the cell has a start record, so that the cell's row may say so. An owner of an earlier software
+// release starts tasks without records; the runs that it left are recorded as they are found. The answer is true once
+// all workers are reconciled and all records are written.
+bool flow_cell::are_all_starts_recorded(instant now) const
 {
     const bool written =
         std::all_of(parts_.begin(), parts_.end(), [](const auto& p) { return p.second.dirty.empty(); });
     return role_ == role::owning && unreconciled_jobs_.empty() && all_workers_reconciled(now) && written;
 }
 
-// The run is in the worker's ledger, so its room is kept meanwhile. All tasks that are placed in one go are noted with
-// one write.
+// Records the start in the job's row; send_recorded_starts() sends it once the row is written. The run is in the
+// worker's ledger meanwhile, which reserves its resources. All starts of one placement pass share one write.
 void flow_cell::record_then_start(instant now, flow_job& job, const flow_task_id& task, live_run& live)
 {
     job.note_start(task, live.worker, live.run);
@@ -48,16 +49,16 @@
     mark_job_dirty(now, job, true);
 }
 
-// While the write was under way the worker may have begun to drain, or this owner may have lost the right to send: then
-// the task is placed anew.
-void flow_cell::send_noted(instant now, flow_job& job)
+// Sends the starts whose records the table has applied. While the write was under way the worker may have begun to
+// drain, or this owner may have lost the right to send orders: the task is then placed again.
+void flow_cell::send_recorded_starts(instant now, flow_job& job)
 {
-    struct noted_start {
+    struct recorded_start {
         worker_id worker;
         flow_task_id task;
         run_number run;
     };
-    std::vector<noted_start> starts;
+    std::vector<recorded_start> starts;
     for (const flow_stage& stage : job.stages()) {
         for (std::size_t i = 0; i < stage.tasks.size(); ++i) {
             for (const live_run& live : stage.tasks[i].runs) {
@@ -67,22 +68,22 @@
             }
         }
     }
-    for (const noted_start& start : starts) {
-        const run_lookup parts = look_up_run(start.worker, start.task, start.run);
-        if (parts.worker == nullptr || parts.live == nullptr) {
+    for (const recorded_start& start : starts) {
+        const run_lookup run = look_up_run(start.worker, start.task, start.run);
+        if (run.worker == nullptr || run.live == nullptr) {
             continue;
         }
-        if (!may_send_orders(now) || !is_schedulable(now, *parts.worker)) {
-            drop_run(now, *parts.worker, start.task, start.run);
+        if (!may_send_orders(now) || !is_schedulable(now, *run.worker)) {
+            drop_run(now, *run.worker, start.task, start.run);
             continue;
         }
-        parts.live->noted = 0;
-        parts.live->sent = now;
+        run.live->noted = 0;
+        run.live->sent = now;
         send_start(now, start.worker, start.task, start.run, 0);
     }
 }
 
-// Runs whose start has not been sent need no stop.
+// Drops the runs of a task whose start was recorded but not sent. They need no stop order.
 void flow_cell::drop_unsent(instant now, const flow_task& task, const flow_task_id& id)
 {
     const std::vector<live_run> runs = task.runs;
