--- a/src/flow_cells.cpp
+++ b/src/flow_cells.cpp
@@ -1,4 +1,5 @@
-// The cells that an entry knows: which racks they are made of, and how it stands to owning them.
+// Maintains the cells that an entry knows: their racks, their workers, the changes of their jobs, and this entry's rank
+// as their candidate owner.
 #include <algorithm>
 
 #include "flow_entry_p.h"
@@ -25,7 +26,7 @@
     });
 }
 
-// A worker of a service that the configuration in force does not name is not used; a later one may name it.
+// A worker of a service that the configuration lacks is not used until a later configuration names the service.
 void flow_entry::refuse_unknown_services(flow_worker_list& list) const
 {
     if (!config_) {
@@ -44,33 +45,33 @@
     list.workers.erase(unknown, list.workers.end());
 }
 
-void flow_entry::note_unusable(instant now, const std::vector<flow_unusable_entry>& entries)
+void flow_entry::report_unusable(instant now, const std::vector<flow_unusable_entry>& entries)
 {
     const std::vector<flow_unusable_entry> fresh = unusable_.take(now, entries);
     stats_.unusable_entries = static_cast<std::int64_t>(entries.size());
     stats_.unusable_entries_noticed += static_cast<std::int64_t>(fresh.size());
-    for (std::size_t i = 0; i < fresh.size() && i < unusable_lines_most; ++i) {
+    for (std::size_t i = 0; i < fresh.size() && i < max_unusable_lines; ++i) {
         edges_.note(log_level::warning, "worker", "entry_unusable",
                     {{"worker", fresh[i].worker.str()}, {"reason", fresh[i].reason}});
     }
-    if (fresh.size() > unusable_lines_most) {
+    if (fresh.size() > max_unusable_lines) {
         edges_.note(log_level::warning, "worker", "entries_unusable",
-                    {{"not_shown", std::to_string(fresh.size() - unusable_lines_most)}});
+                    {{"not_shown", std::to_string(fresh.size() - max_unusable_lines)}});
     }
 }
 
 void flow_entry::on_workers(instant now, flow_worker_list list)
 {
     refuse_unknown_services(list);
-    note_unusable(now, list.unusable);
+    report_unusable(now, list.unusable);
     std::map<data_centre_id, rack_workers> listed;
     std::map<cell_id, std::vector<flow_listed_worker>> by_cell;
     for (flow_listed_worker& w : list.workers) {
         ++listed[w.data_centre][w.rack];
         const cell_layout& layout = layouts_[w.data_centre].layout;
-        const auto laid = layout.find(w.rack);
-        if (laid != layout.end()) {
-            by_cell[laid->second.cell].push_back(std::move(w));
+        const auto assigned = layout.find(w.rack);
+        if (assigned != layout.end()) {
+            by_cell[assigned->second.cell].push_back(std::move(w));
         }
     }
     for (auto& [data_centre, known] : layouts_) {
@@ -82,10 +83,10 @@
     for (auto& [id, cell] : cells_) {
         cell->on_workers_listed(now, by_cell[id]);
     }
-    lay_racks(now);
+    assign_racks(now);
 }
 
-flow_cell& flow_entry::cell_of(const cell_id& id, const data_centre_id& data_centre)
+flow_cell& flow_entry::find_or_create_cell(const cell_id& id, const data_centre_id& data_centre)
 {
     auto& cell = cells_[id];
     if (!cell) {
@@ -104,7 +105,7 @@
         return;
     }
     reading_layouts_ = true;
-    const bool starting = now - begun_ < layouts_start;
+    const bool starting = now - started_at_ < layouts_start;
     next_layouts_read_ = now + (starting ? layout_list_interval : layouts_interval);
     edges_.read({layouts_table, shared_part, "", ""}, [this, asked = now](instant then, const store_page& page) {
         reading_layouts_ = false;
@@ -113,14 +114,14 @@
             return;
         }
         for (const store_row& row : page.rows) {
-            take_layout(then, row);
+            apply_layout(then, row);
         }
         layouts_known_ = true;
         layouts_read_at_ = asked;
     });
 }
 
-void flow_entry::take_layout(instant now, const store_row& row)
+void flow_entry::apply_layout(instant now, const store_row& row)
 {
     const data_centre_id data_centre(row.key.key);
     data_centre_cells& known = layouts_[data_centre];
@@ -133,35 +134,35 @@
     }
     known.version = row.version;
     known.layout = from_row(*decoded);
-    for (const auto& [rack, laid] : known.layout) {
-        racks_[rack] = laid.cell;
-        cell_of(laid.cell, data_centre);
+    for (const auto& [rack, assigned] : known.layout) {
+        racks_[rack] = assigned.cell;
+        find_or_create_cell(assigned.cell, data_centre);
     }
-    // The newest list is not looked at again: a worker may have begun another life since.
+    // Requests a new list instead of using the last one, since a worker may have restarted meanwhile.
     next_list_ = now;
 }
 
-// A rack that is new in the list goes to a cell, once the list is whole and the row that another entry may have written
-// has been read. The entries of the data centre try at about the same time; the row's version lets one of them through.
-void flow_entry::lay_racks(instant now)
+// A new rack is assigned once the list is complete and the layout row, which another entry may have written, has been
+// read. The entries of the data centre write at about the same time; the version check lets one write succeed.
+void flow_entry::assign_racks(instant now)
 {
     for (auto& [data_centre, known] : layouts_) {
         if (!has_new_racks(known.layout, known.listed)) {
-            known.unlaid_since = instant{};
+            known.unassigned_since = instant{};
             continue;
         }
-        if (known.unlaid_since == instant{}) {
-            known.unlaid_since = now;
+        if (known.unassigned_since == instant{}) {
+            known.unassigned_since = now;
         }
         next_list_ = std::min(next_list_, now + layout_list_interval);
-        if (layouts_read_at_ < known.unlaid_since && layouts_known_) {
+        if (layouts_read_at_ < known.unassigned_since && layouts_known_) {
             read_layouts(now);
             continue;
         }
         const duration wait = data_centre == self_.data_centre ? duration(0) : layout_wait_remote;
-        const duration unlaid = now - known.unlaid_since;
-        const bool settled = now - known.changed_at >= layout_settle || unlaid >= layout_settle_most;
-        if (layouts_known_ && !known.writing && !leaving_ && unlaid >= wait && settled) {
+        const duration unassigned_for = now - known.unassigned_since;
+        const bool settled = now - known.changed_at >= layout_settle || unassigned_for >= max_layout_settle;
+        if (layouts_known_ && !known.writing && !stopping_ && unassigned_for >= wait && settled) {
             write_layout(now, data_centre);
         }
     }
@@ -181,7 +182,7 @@
         written.writing = false;
         switch (result.outcome) {
         case table_outcome::applied:
-            take_layout(then, {layout_key(data_centre), value, result.version, false});
+            apply_layout(then, {layout_key(data_centre), value, result.version, false});
             edges_.note(log_level::info, "layout", "extended",
                         {{"data_centre", data_centre.str()},
                          {"racks", std::to_string(written.layout.size())},
@@ -189,14 +190,14 @@
             return;
         case table_outcome::conflict:
             for (const store_row& row : result.rows) {
-                take_layout(then, row);
+                apply_layout(then, row);
             }
             return;
         case table_outcome::refused:
         case table_outcome::unknown:
             edges_.note(log_level::warning, "layout", "extend_failed",
                         {{"data_centre", data_centre.str()}, {"reason", result.reason}});
-            read_layouts(then); // the write may be in force
+            read_layouts(then); // the write may have been applied
             return;
         }
     });
@@ -204,8 +205,8 @@
 
 // --- changes of jobs ---
 
-// One look at the news of jobs for all owned cells: with a look for each, an owner would read the news of the whole
-// site once a cell, over a link that may be narrow.
+// Watches the table of job rows once for all owned cells. With one watch for each cell, an owner would read the changes
+// of the whole site once for each cell, over a possibly narrow link.
 void flow_entry::watch_jobs(instant now)
 {
     std::optional<row_version> known;
@@ -241,9 +242,9 @@
                  });
 }
 
-// Up to which version the page of a look at changes after `after` shows all. One that is not the last shows no more
-// than its rows: none that is left out may count as known.
-row_version flow_entry::shown_by(const store_page& page, row_version after)
+// A page that is followed by others is complete only up to the highest version of its rows; rows that it omits must not
+// count as known.
+row_version flow_entry::last_complete_version(const store_page& page, row_version after)
 {
     if (!page.more) {
         return page.version;
@@ -257,8 +258,8 @@
 
 void flow_entry::on_jobs_changed(instant now, instant asked, row_version after, const store_page& page)
 {
-    take_news(now, after, page.rows);
-    const row_version shown = shown_by(page, after);
+    apply_job_rows(now, after, page.rows);
+    const row_version shown = last_complete_version(page, after);
     for (auto& [id, cell] : cells_) {
         cell->on_job_watch_advanced(after, shown, page.more ? std::nullopt : std::optional(asked));
     }
@@ -267,8 +268,8 @@
     }
 }
 
-// How many rows were newer than `after`.
-std::int64_t flow_entry::take_news(instant now, row_version after, const std::vector<store_row>& rows)
+// Passes the rows newer than `after` to their cells, and returns how many there were.
+std::int64_t flow_entry::apply_job_rows(instant now, row_version after, const std::vector<store_row>& rows)
 {
     std::int64_t newer = 0;
     for (const store_row& row : rows) {
@@ -286,23 +287,24 @@
     return newer;
 }
 
-// Failure: the table turns this entry away, and with it its looks. Symptom: a job whose message was lost, or a task
-// given to a cell of this entry, waits until the table takes it back. Reads go through a peer, and show all that a
-// look would. What is known is left as it is: the first look afterwards begins where the last one ended.
+// Failure: the table does not answer this entry, so its watches fail. Symptom: a job whose notification was lost, or a
+// task handed to a cell of this entry, waits until the table answers again. Reads can be relayed through a peer and
+// return everything that a watch would. The watch version is not changed: the next watch continues where the last one
+// ended.
 void flow_entry::read_news(instant now)
 {
-    if (news_reading_.under_way > 0) {
+    if (news_read_.under_way > 0) {
         return;
     }
     next_watch_ = now + watch_interval;
-    news_reading_ = {};
-    news_reading_.asked = now;
+    news_read_ = {};
+    news_read_.asked = now;
     for (const auto& [id, cell] : cells_) {
         if (cell->job_watch_version()) {
-            news_reading_.cells[id] = cell->epoch();
+            news_read_.cells[id] = cell->epoch();
         }
         for (int part = 0; cell->job_watch_version() && part < job_parts; ++part) {
-            news_reading_.unread.emplace_back(id, cell_rows(news_table, id, job_part(part)));
+            news_read_.unread.emplace_back(id, cell_rows(news_table, id, job_part(part)));
         }
     }
     for (int i = 0; i < job_read_concurrency; ++i) {
@@ -313,36 +315,36 @@
 void flow_entry::read_next_news(instant now)
 {
     if (!table_away_) {
-        news_reading_.whole = news_reading_.whole && news_reading_.unread.empty();
-        news_reading_.unread.clear(); // the next look shows it
+        news_read_.whole = news_read_.whole && news_read_.unread.empty();
+        news_read_.unread.clear(); // the next watch returns them
     }
-    if (!news_reading_.unread.empty()) {
-        const auto [id, range] = std::move(news_reading_.unread.back());
-        news_reading_.unread.pop_back();
-        ++news_reading_.under_way;
+    if (!news_read_.unread.empty()) {
+        const auto [id, range] = std::move(news_read_.unread.back());
+        news_read_.unread.pop_back();
+        ++news_read_.under_way;
         edges_.read(range, [this, id = id, range = range](instant then, const store_page& page) {
-            --news_reading_.under_way;
+            --news_read_.under_way;
             on_news_read(then, id, range, page);
             read_next_news(then);
         });
         return;
     }
-    if (news_reading_.under_way > 0) {
+    if (news_read_.under_way > 0) {
         return;
     }
-    for (const auto& [id, owned] : news_reading_.cells) {
+    for (const auto& [id, owned] : news_read_.cells) {
         flow_cell& cell = *cells_.at(id);
-        if (news_reading_.whole && cell.epoch() == owned) {
-            cell.on_news_read(news_reading_.asked);
+        if (news_read_.whole && cell.epoch() == owned) {
+            cell.on_news_read(news_read_.asked);
         }
     }
-    news_reading_.cells.clear();
-    if (news_reading_.answered > 0 && now >= next_news_line_) {
+    news_read_.cells.clear();
+    if (news_read_.answered > 0 && now >= next_news_line_) {
         next_news_line_ = now + watch_interval;
         edges_.note(log_level::info, "table", "news_through_peer",
                     {{"entry", self_.entry.str()},
-                     {"pages", std::to_string(news_reading_.answered)},
-                     {"rows", std::to_string(news_reading_.rows)}});
+                     {"pages", std::to_string(news_read_.answered)},
+                     {"rows", std::to_string(news_read_.rows)}});
     }
 }
 
@@ -350,31 +352,31 @@
 {
     const auto known = cells_.at(id)->job_watch_version();
     if (!page.reached || !known) {
-        news_reading_.whole = false; // the next round reads it
+        news_read_.whole = false; // the next round of reads repeats it
         return;
     }
-    ++news_reading_.answered;
-    news_reading_.rows += take_news(now, *known, page.rows);
+    ++news_read_.answered;
+    news_read_.rows += apply_job_rows(now, *known, page.rows);
     if (page.more && !page.rows.empty()) {
         range.from = page.rows.back().key.key + '\0';
-        news_reading_.unread.emplace_back(id, std::move(range));
+        news_read_.unread.emplace_back(id, std::move(range));
     }
 }
 
-// --- ranks ---
+// --- candidate owners ---
 
-// Who owns the cell and lives, as far as this entry knows; invalid: nobody.
+// A peer's report takes precedence over the owner named in the cell's row.
 entry_id flow_entry::live_owner(instant now, const cell_id& id, const flow_cell& cell) const
 {
     if (cell.owns_or_is_taking_over()) {
         return self_.entry;
     }
-    if (const peer* const told = owner_of(now, id)) {
-        return told->leaving ? entry_id() : told->identity.entry;
+    if (const peer* const reporting = find_owner(now, id)) {
+        return reporting->leaving ? entry_id() : reporting->identity.entry;
     }
     const wire::flow_cell_row& row = cell.row();
     const auto named = peers_.find(entry_id(row.owner));
-    const bool lives = named != peers_.end() && heard(named->second, now) && !named->second.leaving &&
+    const bool lives = named != peers_.end() && is_live(named->second, now) && !named->second.leaving &&
                        named->second.identity.incarnation.str() == row.incarnation;
     return lives && !row.released ? named->second.identity.entry : entry_id();
 }
@@ -400,13 +402,13 @@
     std::vector<ranking_entry> entries;
     entries.push_back({self_.entry, self_.data_centre, self_.cores, owned[self_.entry]});
     for (const auto& [id, p] : peers_) {
-        if (heard(p, now) && !p.leaving) {
+        if (is_live(p, now) && !p.leaving) {
             entries.push_back({id, p.identity.data_centre, p.identity.cores, owned[id]});
         }
     }
     ranks_ = rank_for_ownership(self_.entry, std::move(entries), cells);
-    // An owner that falls silent is waited for longer than the ranks are old.
-    next_ranks_ = all_owned ? now + deal_interval : now;
+    // The ranks may be as old as ranking_interval, since an owner that fails is replaced only after a longer time.
+    next_ranks_ = all_owned ? now + ranking_interval : now;
 }
 
 } // namespace skylarkhub
--- a/src/flow_config.cpp
+++ b/src/flow_config.cpp
@@ -1,4 +1,4 @@
-// The operator's configuration: from the table, or from a peer while the table does not give it.
+// Obtains the operator's configuration from the table, or from a peer while the table does not supply it.
 #include <algorithm>
 
 #include "flow_entry_p.h"
@@ -11,22 +11,23 @@
 
 void flow_entry::watch_operator(instant now)
 {
-    // After a change the next look only asks whether that was the newest.
+    // After a change the next call only checks that it was the newest.
     const duration wait = config_just_came_ ? duration(0) : operator_wait;
     config_just_came_ = false;
     edges_.watch_operator(operator_seen_, wait, [this, asked = now](instant then, const operator_update& page) {
         if (page.reached) {
             table_answered_ = then;
-            // What came is the newest as of when it was sent: a large change takes its time over a narrow link.
+            // The received version was the newest when the request was sent; a large text takes time over a narrow
+            // link.
             config_newest_at_ = page.config ? asked : then;
             config_just_came_ = page.config.has_value();
             operator_answered_ = true;
             operator_failures_ = 0;
             operator_seen_ = page.history_compacted ? row_version(0) : std::max(operator_seen_, page.version);
             if (page.config) {
-                take_config(then, *page.config, page.config_text, "table");
+                apply_config(then, *page.config, page.config_text, "table");
             }
-            judge_config(then);
+            update_config_usable(then);
             watch_operator(then);
             return;
         }
@@ -36,8 +37,8 @@
     });
 }
 
-// Versions only rise: a late answer of the table or a peer that is behind must not bring an older one back.
-void flow_entry::take_config(instant now, flow_config config, std::string text, const char* from)
+// Versions only increase: a late answer of the table or an outdated peer must not restore an older one.
+void flow_entry::apply_config(instant now, flow_config config, std::string text, const char* from)
 {
     if (config_ && config.version <= config_->version) {
         return;
@@ -56,33 +57,33 @@
         copy_.clear();
     }
     behind_since_.reset();
-    judge_config(now);
+    update_config_usable(now);
 }
 
 settings_version flow_entry::newest_config_version(instant now) const
 {
     settings_version newest = config_version();
     for (const auto& [id, p] : peers_) {
-        if (heard(p, now) && p.config != config_unreadable_) {
+        if (is_live(p, now) && p.config != config_unreadable_) {
             newest = std::max(newest, p.config);
         }
     }
     return newest;
 }
 
-// Failure: a change is still on its way to all entries, so that nobody has it and none tells of it. Symptom: a queue
-// that it adds is refused for good. So what is not in the configuration is refused only while the table has lately told
-// that there is no newer one.
+// Failure: a change has not reached any entry yet, so that no peer reports it. Symptom: a queue that it adds is refused
+// permanently. So requests for unknown names are refused only while the table has recently confirmed that there is no
+// newer version.
 bool flow_entry::knows_newest_config(instant now) const
 {
     return config_usable_ && newest_config_version(now) <= config_version() &&
-           now - config_newest_at_ < config_told_fresh;
+           now - config_newest_at_ < config_answer_validity;
 }
 
-void flow_entry::note_config(instant now, peer& p, settings_version version)
+void flow_entry::update_peer_config(instant now, peer& p, settings_version version)
 {
     p.config = version;
-    judge_config(now);
+    update_config_usable(now);
     if (!behind_since_ || *behind_since_ != now) {
         return;
     }
@@ -92,9 +93,10 @@
                  {"heard_from", p.identity.entry.str()}});
 }
 
-// An entry that starts is usable with the newest version that the table or a peer tells of: versions must not fall over
-// a restart as callers see it. With an older one only while the table is away and nobody it hears has a newer one.
-void flow_entry::judge_config(instant now)
+// Decides whether the configuration is recent enough to accept jobs by. After a start it must be the newest version
+// that the table or a peer reports, because callers must not see versions decrease over a restart. An older one is used
+// only while the table is unreachable and no live peer has a newer one.
+void flow_entry::update_config_usable(instant now)
 {
     const bool newest = newest_config_version(now) <= config_version();
     if (newest) {
@@ -104,29 +106,29 @@
     else if (!behind_since_) {
         behind_since_ = now;
     }
-    const bool asked_enough = operator_answered_ || now - begun_ >= config_start_patience;
+    const bool asked_enough = operator_answered_ || now - started_at_ >= config_start_timeout;
     config_was_newest_ = config_was_newest_ || (config_ && newest && asked_enough);
-    const bool behind_for_long = behind_since_ && now - *behind_since_ >= config_behind_most;
+    const bool behind_for_long = behind_since_ && now - *behind_since_ >= max_config_behind;
     config_usable_ = config_.has_value() && config_was_newest_ && !behind_for_long;
 }
 
 // --- copies from peers ---
 
-// Asks one peer at a time, for one piece at a time. The table comes first: it has the newest version by definition, and
-// a copy beside its answer would share the link with it.
-void flow_entry::follow_config(instant now)
+// Requests the next piece of a newer configuration from one peer at a time. The table is preferred: it has the newest
+// version by definition, and a copy during its answer would share the link with it.
+void flow_entry::fetch_newer_config(instant now)
 {
-    judge_config(now);
+    update_config_usable(now);
     if (!behind_since_ || copying_ || now < next_piece_) {
         return;
     }
     const bool table_gives = operator_failures_ == 0 && !table_away_;
-    if (table_gives && now - *behind_since_ < config_table_first) {
+    if (table_gives && now - *behind_since_ < config_table_preference) {
         return;
     }
     std::vector<config_sources::source> sources;
     for (const auto& [id, p] : peers_) {
-        if (heard(p, now) && p.config > config_version() && p.config != config_unreadable_) {
+        if (is_live(p, now) && p.config > config_version() && p.config != config_unreadable_) {
             sources.push_back({id, p.config, p.identity.data_centre == self_.data_centre});
         }
     }
@@ -157,11 +159,11 @@
     const auto result = answer ? copy_.take(answer->config_piece) : config_copy::result::refused;
     switch (result) {
     case config_copy::result::whole:
-        take_copy(now);
+        apply_copied_config(now);
         return;
     case config_copy::result::more:
         copy_sources_.served(source);
-        // As long as the piece took: a copy uses half of the narrower link at the most.
+        // Pauses as long as the piece took, so that a copy uses at most half of the narrower link.
         next_piece_ = now + took;
         break;
     case config_copy::result::damaged:
@@ -173,10 +175,10 @@
         next_piece_ = now + config_ask_pause;
         break;
     }
-    edges_.after(next_piece_ - now, [this](instant then) { follow_config(then); });
+    edges_.after(next_piece_ - now, [this](instant then) { fetch_newer_config(then); });
 }
 
-void flow_entry::take_copy(instant now)
+void flow_entry::apply_copied_config(instant now)
 {
     const settings_version version = copy_.version();
     std::string text = copy_.text();
@@ -187,7 +189,7 @@
         config_unreadable_ = version;
         return;
     }
-    take_config(now, std::move(*parsed), std::move(text), "peer");
+    apply_config(now, std::move(*parsed), std::move(text), "peer");
 }
 
 wire::flow_message flow_entry::serve_config(instant now, const wire::flow_config_ask& ask)
@@ -203,8 +205,8 @@
     return answer;
 }
 
-// At most one line a second: callers may ask for such a queue as often as they like.
-void flow_entry::note_unknown_queue(instant now, const caller_request& request)
+// Logs at most one line a second, since callers may request unknown queues at any rate.
+void flow_entry::log_unknown_queue(instant now, const caller_request& request)
 {
     ++stats_.unknown_queues;
     if (now < next_unknown_queue_line_) {
--- a/src/flow_config_copy.cpp
+++ b/src/flow_config_copy.cpp
@@ -52,20 +52,21 @@
     *this = {};
 }
 
-std::optional<entry_id> config_sources::pick(const entry_id& self, const std::vector<source>& heard) const
+std::optional<entry_id> config_sources::pick(const entry_id& self, const std::vector<source>& candidates) const
 {
     settings_version newest;
-    for (const source& s : heard) {
+    for (const source& s : candidates) {
         newest = std::max(newest, s.version);
     }
-    // Entries that are behind together ask different peers first.
+    // The hash makes entries that lack the version at the same time ask different peers first.
     const auto order = [&](const source& s) {
-        const auto at = in_vain_.find(s.entry);
+        const auto at = failed_requests_.find(s.entry);
         const std::string pair = self.str() + "/" + s.entry.str();
-        return std::make_tuple(at == in_vain_.end() ? 0 : at->second, !s.near, XXH64(pair.data(), pair.size(), 0));
+        return std::make_tuple(at == failed_requests_.end() ? 0 : at->second, !s.near,
+                               XXH64(pair.data(), pair.size(), 0));
     };
     const source* best = nullptr;
-    for (const source& s : heard) {
+    for (const source& s : candidates) {
         if (s.version != newest) {
             continue;
         }
@@ -79,7 +80,7 @@
 
 void config_sources::not_served(const entry_id& by)
 {
-    ++in_vain_[by];
+    ++failed_requests_[by];
     current_.reset();
 }
 
@@ -88,10 +89,10 @@
     *this = {};
 }
 
-bool config_readers::admit(instant now, const entry_id& entry)
+bool config_reader_slots::admit(instant now, const entry_id& entry)
 {
-    std::erase_if(asked_, [&](const auto& reader) { return now - reader.second > config_reader_kept; });
-    if (asked_.count(entry) == 0 && asked_.size() >= config_readers_most) {
+    std::erase_if(asked_, [&](const auto& reader) { return now - reader.second > config_reader_retention; });
+    if (asked_.count(entry) == 0 && asked_.size() >= max_config_readers) {
         return false;
     }
     asked_[entry] = now;
--- a/src/flow_edges_p.h
+++ b/src/flow_edges_p.h
@@ -1,5 +1,6 @@
-// What an entry's decisions about flows need from outside. The daemon carries these out over the network; tests stand
-// in for them under a virtual clock. No function waits; each callback runs once, later, with the time at which it runs.
+// The functions through which the flow logic of an entry reaches the network, the table and the platform. The daemon
+// implements them over the network; tests simulate them under a virtual clock. No function blocks; each callback runs
+// once, later, and receives the time at which it runs.
 #pragma once
 
 #include <functional>
@@ -12,33 +13,34 @@
 
 namespace skylarkhub {
 
-// What the operator has written since some version.
+// The operator's changes since a given row version.
 struct operator_update {
     bool reached = false;
     bool history_compacted = false;
     row_version version;
-    std::optional<flow_config> config; // empty when it has not changed
-    std::string config_text;           // as the operator wrote it
+    std::optional<flow_config> config; // empty if the configuration has not changed
+    std::string config_text;           // the unparsed text of `config`
 };
 
 struct flow_edges {
-    // One decision for the log: what was decided, and what decided it.
+    // Logs one decision and the values that led to it.
     std::function<void(log_level, std::string_view subject, std::string_view event, std::initializer_list<log_field>)>
         note;
     std::function<void(store_transaction, std::function<void(instant, store_result)>)> commit;
     std::function<void(store_range, std::function<void(instant, store_page)>)> read;
     std::function<void(store_watch, std::function<void(instant, store_page)>)> watch;
-    // `timeout`: how long an answer is waited for, not counting a hold's own wait.
+    // `timeout`: how long to wait for the answer, in addition to the wait that a hold itself requests. A hold is the
+    // exchange that renews a worker's leases and returns what it runs; an order is a command to a worker.
     std::function<void(worker_place, worker_order, duration timeout, std::function<void(instant, order_answer)>)> order;
-    // The peer's own message in return, empty when there was no answer.
+    // The callback receives the peer's reply, or nothing if the peer did not answer.
     std::function<void(net_address, const wire::flow_message&,
                        std::function<void(instant, std::optional<wire::flow_message>)>)>
         send_message;
     std::function<void(duration, std::function<void(instant)>)> after;
     std::function<wall_time()> wall;
-    // Empty when the platform's list could not be read.
+    // The callback receives nothing if the platform's worker list could not be read.
     std::function<void(std::function<void(instant, std::optional<flow_worker_list>)>)> list_workers;
-    // `after` 0: everything there is; else waits up to `wait` for a change.
+    // With `after` 0 the current state is returned at once; otherwise the call waits up to `wait` for a change.
     std::function<void(row_version after, duration wait, std::function<void(instant, operator_update)>)> watch_operator;
     std::function<std::optional<flow_config>(const std::string& text)> parse_config;
 };
--- a/src/flow_entry.cpp
+++ b/src/flow_entry.cpp
@@ -24,38 +24,39 @@
 
 void flow_entry::begin(instant now)
 {
-    begun_ = now;
+    started_at_ = now;
     next_hello_ = now;
     register_self();
     read_entries(now);
     watch_operator(now);
     read_layouts(now);
     list_workers();
-    look_for_earlier_jobs(0);
+    check_for_legacy_jobs(0);
     edges_.after(tick_interval, [this](instant then) { tick(then); });
 }
 
-// An earlier release kept one row a job, which this one does not read: its jobs would be forgotten in silence.
-void flow_entry::look_for_earlier_jobs(int part)
+// An earlier release stored each job in one row, which this release does not read, so its jobs would be lost silently.
+// Cells are owned only once the table has no such rows.
+void flow_entry::check_for_legacy_jobs(int part)
 {
     if (part == job_parts) {
-        may_own_ = true;
+        legacy_jobs_absent_ = true;
         return;
     }
     edges_.read({legacy_jobs_table, job_part(part), "", "", 1}, [this, part](instant, const store_page& page) {
         if (!page.reached) {
-            edges_.after(register_retry, [this, part](instant) { look_for_earlier_jobs(part); });
+            edges_.after(register_retry, [this, part](instant) { check_for_legacy_jobs(part); });
             return;
         }
         if (page.rows.empty()) {
-            look_for_earlier_jobs(part + 1);
+            check_for_legacy_jobs(part + 1);
             return;
         }
         edges_.note(log_level::error, "entry", "jobs_of_an_earlier_release",
                     {{"table", legacy_jobs_table},
                      {"part", job_part(part)},
                      {"advice", "let that release finish its jobs, then remove the table's rows"}});
-        edges_.after(earlier_jobs_interval, [this, part](instant) { look_for_earlier_jobs(part); });
+        edges_.after(legacy_jobs_check_interval, [this, part](instant) { check_for_legacy_jobs(part); });
     });
 }
 
@@ -64,9 +65,9 @@
     ticked_at_ = now;
     if (now >= next_hello_) {
         next_hello_ = now + hello_interval;
-        tell_peers(now, false);
+        send_hellos(now, false);
     }
-    follow_config(now);
+    fetch_newer_config(now);
     if (now >= next_entries_read_) {
         read_entries(now);
     }
@@ -80,37 +81,37 @@
     if (now >= next_layouts_read_) {
         read_layouts(now);
     }
-    lay_racks(now);
-    if (now >= next_untold_ && !untold_.empty()) {
-        next_untold_ = now + untold_retry;
+    assign_racks(now);
+    if (now >= next_row_resend_ && !unacknowledged_rows_.empty()) {
+        next_row_resend_ = now + row_resend_interval;
         std::vector<job_row_name> names;
-        for (const auto& [name, row] : untold_) {
+        for (const auto& [name, row] : unacknowledged_rows_) {
             names.push_back(name);
         }
         for (const job_row_name& name : names) {
-            tell_owner(now, name);
+            send_row_to_owner(now, name);
         }
     }
-    if (leaving_ && !untold_left_ && now - stop_planned_at_ >= stop_drain_timeout) {
-        untold_left_ = true;
-        if (!untold_.empty()) {
+    if (stopping_ && !acknowledgement_wait_ended_ && now - stop_planned_at_ >= stop_drain_timeout) {
+        acknowledgement_wait_ended_ = true;
+        if (!unacknowledged_rows_.empty()) {
             edges_.note(log_level::warning, "entry", "leaves_untold",
-                        {{"entry", self_.entry.str()}, {"rows", std::to_string(untold_.size())}});
+                        {{"entry", self_.entry.str()}, {"rows", std::to_string(unacknowledged_rows_.size())}});
         }
     }
-    if (now - begun_ >= peers_learned && may_own_) {
+    if (now - started_at_ >= peer_discovery_time && legacy_jobs_absent_) {
         tick_cells(now);
-        keep_pending_counts(now);
+        refresh_pending_counts(now);
     }
-    refuse_late_questions(now);
+    refuse_late_requests(now);
     if (now >= next_watch_) {
         watch_jobs(now);
     }
     edges_.after(tick_interval, [this](instant then) { tick(then); });
 }
 
-// The cells are dealt anew after each one that this entry goes for: with the ranks from before it would go for all that
-// have no owner at once, and hold them before others had their turn.
+// Ranks are computed again after each cell that this entry starts to take over. With the earlier ranks it would take
+// over all cells without an owner at once, before other entries get their share.
 void flow_entry::tick_cells(instant now)
 {
     rank_cells(now);
@@ -129,33 +130,34 @@
     for (auto& [id, cell] : cells_) {
         cell->run_deferred_work(now);
     }
-    tell_states();
+    send_job_states();
 }
 
 bool flow_entry::ready() const
 {
-    return config_usable_ && !leaving_;
+    return config_usable_ && !stopping_;
 }
 
 void flow_entry::plan_stop(instant now)
 {
-    if (leaving_) {
+    if (stopping_) {
         return;
     }
-    leaving_ = true;
+    stopping_ = true;
     stop_planned_at_ = now;
     edges_.note(log_level::info, "entry", "stop_planned", {{"entry", self_.entry.str()}});
-    tell_peers(now, true);
+    send_hellos(now, true);
     for (auto& [id, cell] : cells_) {
         cell->plan_stop(now);
     }
 }
 
-// Failure: an entry stops while owners have not taken note of rows it wrote. Symptom: nobody tells them again, and they
-// come upon the rows by their own look. Waited for no longer than a cell's answers are.
+// Failure: an entry stops before owners have acknowledged the rows that it wrote. Symptom: nobody notifies the owners
+// again, and they find the rows only by their own watch. The wait is as long at most as that for a cell's pending
+// answers.
 bool flow_entry::stopped() const
 {
-    return (untold_.empty() || untold_left_) &&
+    return (unacknowledged_rows_.empty() || acknowledgement_wait_ended_) &&
            std::all_of(cells_.begin(), cells_.end(), [](const auto& c) { return c.second->stopped(); });
 }
 
@@ -183,15 +185,15 @@
         return non_filling_cpu_share(now, service);
     };
     hooks.reported_pending_count = [this](const cell_id& id) -> std::optional<pending_count> {
-        const timestamped_count* const heard = pending_.find(id);
-        return heard == nullptr ? std::nullopt : std::optional(heard->count);
+        const timestamped_count* const reported = pending_.find(id);
+        return reported == nullptr ? std::nullopt : std::optional(reported->count);
     };
     hooks.table_outage = [this](instant now, instant since) { return table_outage(now, since); };
     hooks.notify_cell_owner = [this](instant now, const job_row_name& name, const wire::flow_job_row& row,
                                      row_version version) { notify_cell_owner(now, name, row, version); };
     hooks.publish_job_state = [this](instant now, const wire::flow_job_row& row, const job_id& job, flow_state state) {
         if (row.accepted_by == self_.address.str()) {
-            note_state(now, job, state);
+            update_job_state(now, job, state);
             return;
         }
         wire::flow_state_news news;
--- a/src/flow_entry_p.h
+++ b/src/flow_entry_p.h
@@ -1,5 +1,6 @@
-// One entry's part in flows: what callers ask, the peers it knows, the configuration in force, and the cells it owns or
-// watches. Holds no lock and does no I/O: the daemon calls it under one lock and carries out what it asks of its edges.
+// The flow logic of one entry: answers callers, exchanges news with its peers, maintains the configuration in force,
+// and runs the cells that it owns or watches. Holds no lock and does no I/O: the daemon calls it under one lock and
+// carries out the calls made through flow_edges.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,7 +18,7 @@
 
 namespace skylarkhub {
 
-// --- what callers ask and are told ---
+// --- requests of callers and their answers ---
 
 enum class caller_verb : std::uint8_t { submit, state, cancel };
 
@@ -25,9 +26,9 @@
     caller_verb verb = caller_verb::state;
     std::string host;
     std::string path;
-    std::optional<flow_spec> spec; // of a submit; empty when the body was no such thing
-    std::string problem;           // why not
-    duration request_timeout{0};   // how long the caller waits; 0: not said
+    std::optional<flow_spec> spec; // for submit; empty if the body is not a valid specification
+    std::string problem;           // why `spec` is empty
+    duration request_timeout{0};   // how long the caller waits for the answer; 0: not stated
 };
 
 enum class caller_result : std::uint8_t {
@@ -35,18 +36,18 @@
     state,
     pending,
     cancelled,
-    unknown_queue, // no such queue in the configuration
+    unknown_queue, // the configuration has no such queue
     unknown_job,
     invalid,
-    rejected,       // did not run and never will on account of this request
-    retry_later,    // not known now; nothing was done
-    outcome_unknown // the write may be in force or not
+    rejected,       // the job does not run and will not run because of this request
+    retry_later,    // the answer is not known now; nothing was changed
+    outcome_unknown // the write may or may not have been applied
 };
 struct caller_answer {
     caller_result result = caller_result::retry_later;
     flow_state state = flow_state::queued;
     std::int64_t pending = 0;
-    duration retry_delay{0}; // 0: not said
+    duration retry_delay{0}; // 0: not stated
     std::string reason;
 };
 using caller_reply = std::function<void(caller_answer)>;
@@ -57,24 +58,26 @@
     flow_entry(const flow_entry&) = delete;
     flow_entry& operator=(const flow_entry&) = delete;
 
-    // Registers the entry and begins to learn; call once.
+    // Registers the entry in the table and starts its periodic work. Called once.
     void begin(instant now);
-    // After every event.
+    // Called after every event.
     void run_deferred_work(instant now);
-    // Fit to take callers.
+    // Returns whether the entry can serve callers.
     bool ready() const;
+    // Starts a planned stop: no more jobs are accepted, and the cells are released.
     void plan_stop(instant now);
-    // Nothing is left to wait for; only after plan_stop().
+    // Returns whether a planned stop has nothing left to wait for. Valid only after plan_stop().
     bool stopped() const;
 
     void on_request(instant now, const caller_request& request, caller_reply reply);
-    // `reply` is called once, at once or when the table has answered a call made for the sender.
+    // Handles a message of a peer. `reply` is called once, either before the function returns or when the table has
+    // answered a call relayed for the sender.
     void on_message(instant now, const wire::flow_message& message,
                     const std::function<void(const wire::flow_message&)>& reply);
 
     const flow_entry_stats& stats() const { return stats_; }
     settings_version config_version() const { return config_ ? config_->version : settings_version(0); }
-    // The newest version that this entry or a peer it hears has in force.
+    // The newest configuration version in force at this entry or at a live peer.
     settings_version newest_config_version(instant now) const;
     const std::map<cell_id, std::unique_ptr<flow_cell>>& cells() const { return cells_; }
     const std::map<rack_id, cell_id>& racks() const { return racks_; }
@@ -82,150 +85,181 @@
 private:
     struct peer {
         entry_identity identity;
-        instant heard{};
-        bool ever_heard = false;
+        // When the last hello of the peer arrived.
+        instant last_hello_at{};
+        bool hello_received = false;
         bool leaving = false;
-        bool telling = false;
+        bool sending = false;
         bool table_away = false;
-        instant table_answered{}; // when the table last answered it
-        std::int64_t sent_ms = 0; // of the hello that was heard last, on its clock
-        settings_version config;  // in force there
+        instant table_answered{}; // when the table last answered the peer
+        std::int64_t sent_ms = 0; // send time of the peer's last hello, on the peer's clock
+        settings_version config;  // in force at the peer
         std::vector<wire::flow_cell_news> cells;
     };
-    // A caller who asks how many jobs of a queue wait.
-    struct pending_question {
+    // A caller's request for the number of waiting jobs of a queue.
+    struct pending_request {
         queue_id queue;
         instant asked{};
         caller_reply reply;
     };
-    // Of the counts in the rows of cells, brought up to date with what was accepted since.
-    struct pending_reading {
+    // A read of the counts in the rows of cells, which are then extended by the jobs accepted since.
+    struct pending_read {
         bool under_way = false;
         std::map<cell_id, pending_count> counts;
     };
-    // A job this entry answers callers for.
-    struct followed_job {
-        bool accepted = false; // durable
+    // A job that this entry answers callers about.
+    struct tracked_job {
+        bool accepted = false; // the job's row is in the table
         bool accepting = false;
         flow_state state = flow_state::queued;
-        instant checked{}; // when `state` was last known to be so
-        instant asked{};   // first, of the try under way
+        instant checked{}; // when `state` was last confirmed
+        instant asked{};   // when the pending submit began
         std::vector<caller_reply> waiting_accept;
         std::vector<caller_reply> waiting_state;
+        // A read of the job's state is under way.
         bool reading = false;
     };
-    // What a caller is told whose job is not taken.
+    // The answer to a caller whose job is not accepted.
     struct refusal {
         std::string reason;
         duration retry_delay{0};
     };
-    // A row that the owner of its cell has not taken note of yet.
-    struct untold_row {
+    // A written job row that the owner of its cell has not acknowledged yet.
+    struct unacknowledged_row {
         wire::flow_job_row row;
         std::string bytes;
         row_version version;
-        bool telling = false;
+        bool sending = false;
     };
-    // A look at the news of jobs by reads, which go through a peer where a look does not.
-    struct news_reading {
+    // Progress of reading new job rows by reads of the table, which can be relayed through a peer while a watch can't.
+    struct news_read {
         std::vector<std::pair<cell_id, store_range>> unread;
-        std::map<cell_id, epoch> cells; // whose news are read
+        std::map<cell_id, epoch> cells; // the cells that are read, with the ownership epoch at the start
         instant asked{};
-        bool whole = true; // all of it was read
+        bool whole = true; // every read so far succeeded
         int under_way = 0;
         std::int64_t answered = 0;
-        std::int64_t rows = 0; // newer than what the owner knows by a look
+        std::int64_t rows = 0; // number of rows newer than the version that the watch had reached
     };
-    // One data centre: which of its racks are in which cell, and what the platform's list showed last.
+    // The cells of one data centre, and the workers by rack in the platform's last list.
     struct data_centre_cells {
         cell_layout layout;
-        row_version version; // of its row; 0: there is none
+        row_version version; // version of the layout row; 0: there is no row
         rack_workers listed;
-        instant changed_at{};   // `listed`
-        instant unlaid_since{}; // a listed rack is in no cell; instant{}: all are
+        instant changed_at{};       // when `listed` last changed
+        instant unassigned_since{}; // when a listed rack without a cell was first seen; instant{}: none
         bool writing = false;
     };
 
     // flow_front.cpp
+    // Returns the queue with the longest path prefix that matches, or null. Requires a configuration.
     const flow_queue* match_queue(const std::string& host, const std::string& path) const;
     void submit(instant now, const flow_queue& queue, const job_id& job, const caller_request& request, instant give_up,
                 caller_reply reply);
+    // Chooses the cell for a new job; nothing if no cell serves its queue.
     std::optional<cell_id> choose_cell(instant now, const flow_queue& queue, const flow_spec& spec);
+    // Returns whether the job is not lasting or all its tasks have room now.
     bool has_lasting_room(instant now, const job_id& job, const flow_queue& queue, const flow_spec& spec);
-    void refuse_unless_there(const job_id& job, const refusal& why, caller_reply reply);
+    // Refuses the submit unless the table already holds the job.
+    void refuse_unless_accepted(const job_id& job, const refusal& why, caller_reply reply);
+    // Returns the news of the cells owned here, at most max_own_news_age old.
     std::vector<wire::flow_cell_news>& own_news(instant now);
-    template <class Weigh> void each_news(instant now, Weigh&& weigh);
+    // Calls `consider` with the latest news of each cell with a live owner, and whether this entry owns the cell.
+    template <class Visitor> void for_each_news(instant now, Visitor&& consider);
+    // Writes the row of a new job; on_job_written() retries or answers.
     void write_job(const job_id& job, const wire::flow_job_row& row, instant give_up, int tries, bool may_be_in_force);
     void on_job_written(instant now, const job_id& job, const wire::flow_job_row& row, instant give_up, int tries,
                         bool may_be_in_force, const store_result& result);
     void answer_accept(instant now, const job_id& job, const caller_answer& answer);
     void ask_state(instant now, const job_id& job, caller_reply reply);
     void read_state(const job_id& job);
-    void note_state(instant now, const job_id& job, flow_state state);
+    void update_job_state(instant now, const job_id& job, flow_state state);
     void cancel(const job_id& job, instant give_up, caller_reply reply);
     void write_cancel(const job_id& job, const cell_id& cell, instant give_up, caller_reply reply);
     void notify_cell_owner(instant now, const job_row_name& name, const wire::flow_job_row& row, row_version version);
-    void look_for_earlier_jobs(int part);
-    void tell_owner(instant now, const job_row_name& name);
+    // Checks the parts of the table from `part` on for jobs of an earlier release.
+    void check_for_legacy_jobs(int part);
+    // Sends an unacknowledged row to the cell's owner.
+    void send_row_to_owner(instant now, const job_row_name& name);
     std::optional<std::pair<cell_id, epoch>> find_cell_with_room(instant now, const cell_id& from,
                                                                  const std::string& service, const flow_step& step,
                                                                  room_kind kind);
+    // Returns the share of a service's processors that tasks other than filling ones use.
     double non_filling_cpu_share(instant now, const std::string& service);
     std::vector<flow_cell_room> list_cells_with_room(instant now, const cell_id& from, const std::string& service,
                                                      const flow_step& step);
-    void tell_states();
+    // Sends the collected job states to the entries that accepted the jobs.
+    void send_job_states();
 
     // flow_entry_pending.cpp
     void ask_pending(instant now, const queue_id& queue, caller_reply reply);
     void read_pending(instant now);
     void on_pending_rows(instant now, instant asked, const store_page& page);
-    void look_for_accepted(instant now);
-    void on_accepted_seen(instant now, instant asked, row_version after, const store_page& page);
-    void end_pending_reading(instant now, const std::string& outcome);
-    void keep_pending_counts(instant now);
-    void note_own_counts(instant now);
-    bool counts_all(instant now, instant whole_at) const;
+    // Adds the jobs accepted since the counts that read_pending() read.
+    void read_accepted_since(instant now);
+    void on_accepted_read(instant now, instant asked, row_version after, const store_page& page);
+    // Answers the requests that waited for the read. `outcome`: its result, for the log.
+    void end_pending_read(instant now, const std::string& outcome);
+    void refresh_pending_counts(instant now);
+    void refresh_own_counts(instant now);
+    // Returns whether a count that is complete up to `complete_at` may be used for an answer.
+    bool is_count_usable(instant now, instant complete_at) const;
+    // Returns whether the site may have cells that this entry does not know.
     bool may_miss_cells(instant now) const;
     std::variant<std::int64_t, counts_missing> count_pending(instant now, const queue_id& queue);
-    void tell_pending(instant now, const pending_question& question, std::int64_t jobs);
-    void refuse_pending(instant now, const pending_question& question, const counts_missing& missing,
+    void answer_pending(instant now, const pending_request& request, std::int64_t jobs);
+    void refuse_pending(instant now, const pending_request& request, const counts_missing& missing,
                         const std::string& table);
-    void tell_count(instant now, wire::flow_cell_news& news) const;
-    void note_pending(instant told_at, const wire::flow_cell_news& news);
-    void refuse_late_questions(instant now);
+    // Adds the known count of an owned cell to its news in a hello.
+    void add_pending_count(instant now, wire::flow_cell_news& news) const;
+    // Stores the count that a hello reports for a cell. `earliest_sent`: a time no later than the hello was sent.
+    void update_pending_count(instant earliest_sent, const wire::flow_cell_news& news);
+    // Refuses the requests that have waited longer than pending_answer_timeout.
+    void refuse_late_requests(instant now);
 
     // flow_peers.cpp
     void register_self();
     void read_entries(instant now);
-    void learn(const wire::flow_entry_row& row);
-    void tell_peers(instant now, bool everyone);
+    // Adds a peer that a table row or another peer's hello names.
+    void add_peer(const wire::flow_entry_row& row);
+    // Sends a hello to the peers. `everyone`: also to those that send hellos to this entry themselves.
+    void send_hellos(instant now, bool everyone);
     void send_message(instant now, peer& p, const wire::flow_message& message);
+    // Builds a hello. `with_members`: it lists the known live entries.
     wire::flow_hello hello(instant now, bool with_members);
-    static void echo_to(instant now, const peer& p, wire::flow_hello& hello);
-    std::optional<instant> sent_after(instant now, const wire::flow_hello& hello) const;
+    static void set_echo(instant now, const peer& p, wire::flow_hello& hello);
+    std::optional<instant> earliest_send_time(instant now, const wire::flow_hello& hello) const;
     bool on_hello(instant now, const wire::flow_hello& hello, std::optional<instant> asked);
-    bool heard(const peer& p, instant now) const;
-    const peer* owner_of(instant now, const cell_id& cell) const;
+    // Returns whether the peer's last hello is newer than peer_timeout.
+    bool is_live(const peer& p, instant now) const;
+    // Returns the live peer that reports owning the cell with the highest epoch, or null.
+    const peer* find_owner(instant now, const cell_id& cell) const;
+    // Describes this entry as a candidate owner of the cell.
     cell_candidacy candidacy(instant now, const flow_cell& cell) const;
 
     // flow_cells.cpp
     void list_workers();
     void on_workers(instant now, flow_worker_list list);
+    // Marks workers of services that the configuration does not name as unusable.
     void refuse_unknown_services(flow_worker_list& list) const;
-    void note_unusable(instant now, const std::vector<flow_unusable_entry>& entries);
+    void report_unusable(instant now, const std::vector<flow_unusable_entry>& entries);
     void read_layouts(instant now);
-    void take_layout(instant now, const store_row& row);
-    void lay_racks(instant now);
+    void apply_layout(instant now, const store_row& row);
+    // Assigns listed racks without a cell to cells.
+    void assign_racks(instant now);
     void write_layout(instant now, const data_centre_id& data_centre);
-    flow_cell& cell_of(const cell_id& id, const data_centre_id& data_centre);
+    // Returns the cell, and creates it if it is unknown.
+    flow_cell& find_or_create_cell(const cell_id& id, const data_centre_id& data_centre);
     void watch_jobs(instant now);
-    static row_version shown_by(const store_page& page, row_version after);
+    // Returns the version up to which `page`, a watch's answer, contains all changes after `after`.
+    static row_version last_complete_version(const store_page& page, row_version after);
     void on_jobs_changed(instant now, instant asked, row_version after, const store_page& page);
-    std::int64_t take_news(instant now, row_version after, const std::vector<store_row>& rows);
+    std::int64_t apply_job_rows(instant now, row_version after, const std::vector<store_row>& rows);
     void read_news(instant now);
     void read_next_news(instant now);
     void on_news_read(instant now, const cell_id& id, store_range range, const store_page& page);
     void rank_cells(instant now);
+    // Returns the live entry that owns the cell as far as known, or an invalid id.
     entry_id live_owner(instant now, const cell_id& id, const flow_cell& cell) const;
 
     // flow_entry.cpp
@@ -235,59 +269,74 @@
 
     // flow_config.cpp
     void watch_operator(instant now);
-    void take_config(instant now, flow_config config, std::string text, const char* from);
-    void note_config(instant now, peer& p, settings_version version);
-    void judge_config(instant now);
+    // Puts a configuration in force if it is newer. `from`: its source, for the log.
+    void apply_config(instant now, flow_config config, std::string text, const char* from);
+    // Records the configuration version in force at a peer.
+    void update_peer_config(instant now, peer& p, settings_version version);
+    // Decides whether the configuration is recent enough to accept jobs by.
+    void update_config_usable(instant now);
     bool knows_newest_config(instant now) const;
-    void follow_config(instant now);
+    // Requests a piece of a newer configuration from a peer if one is needed.
+    void fetch_newer_config(instant now);
     void ask_for_config(instant now, const entry_id& source);
     void on_config_piece(instant now, const entry_id& source, duration took,
                          const std::optional<wire::flow_message>& answer);
-    void take_copy(instant now);
+    // Puts a completely copied configuration in force.
+    void apply_copied_config(instant now);
+    // Answers a peer's request for a piece of the configuration.
     wire::flow_message serve_config(instant now, const wire::flow_config_ask& ask);
-    void note_unknown_queue(instant now, const caller_request& request);
+    void log_unknown_queue(instant now, const caller_request& request);
 
     // flow_relay.cpp
+    // Commits directly, or through a peer while the table does not answer this entry.
     void commit(store_transaction transaction, std::function<void(instant, store_result)> done);
+    // Reads directly, or through a peer while the table does not answer this entry.
     void read(store_range range, std::function<void(instant, store_page)> done);
-    void note_table(instant now, bool answered, const std::string& reason);
+    // Updates table_away_ after a direct table call. `reason`: why it failed, for the log.
+    void record_table_answer(instant now, bool answered, const std::string& reason);
+    // Returns whether no known live entry has had an answer of the table since `since`.
     bool table_outage(instant now, instant since) const;
+    // Reads the table periodically until it answers this entry again.
     void probe_table();
+    // Returns the next peer that can relay table calls, or nothing.
     std::optional<net_address> relay_peer();
+    // Executes a commit on behalf of a peer.
     void serve_commit(const wire::flow_relayed_commit& asked, std::function<void(const wire::flow_message&)> reply);
+    // Executes a read on behalf of a peer.
     void serve_read(const wire::flow_relayed_read& asked, std::function<void(const wire::flow_message&)> reply);
 
-    // `asked`: when, of an answer.
-    wire::flow_message take_message(instant now, const wire::flow_message& message, std::optional<instant> asked);
+    // Processes a message of a peer and returns the answer. `asked`: if the message is an answer, when its request was
+    // sent.
+    wire::flow_message process_message(instant now, const wire::flow_message& message, std::optional<instant> asked);
 
     entry_identity self_;
-    flow_edges direct_; // what this entry reaches itself
-    flow_edges edges_;  // the same, but for the table, which is reached through a peer while it turns this entry away
+    flow_edges direct_; // calls made without a relay
+    flow_edges edges_;  // as direct_, but table calls go through a peer while table_away_ is set
     instant ticked_at_{};
-    int table_failures_ = 0; // in a row
+    int table_failures_ = 0; // consecutive
     bool table_away_ = false;
     instant table_answered_{}; // when the table last answered this entry
     std::size_t relays_ = 0;
-    instant begun_{};
-    bool leaving_ = false;
+    instant started_at_{};
+    bool stopping_ = false;
     instant stop_planned_at_{};
-    bool untold_left_ = false; // a planned stop waits no longer for rows that no owner has taken note of
+    bool acknowledgement_wait_ended_ = false; // a planned stop no longer waits for unacknowledged rows
     std::optional<flow_config> config_;
     std::string config_text_;
     std::int64_t config_checksum_ = 0;
     row_version operator_seen_;
-    bool config_just_came_ = false;       // with the newest answer of the table
-    bool operator_answered_ = false;      // the table has, in this life
-    int operator_failures_ = 0;           // looks without an answer, in a row
-    instant config_newest_at_{};          // until then the table had none that is newer than this entry's
-    std::optional<instant> behind_since_; // a peer has told of a newer configuration than this entry's
-    bool config_usable_ = false;          // new enough to take jobs by
-    bool config_was_newest_ = false;      // in this life
-    settings_version config_unreadable_;  // came whole from a peer, and cannot be read here
+    bool config_just_came_ = false;       // the table's last answer contained a new configuration
+    bool operator_answered_ = false;      // the table has answered a watch since the start
+    int operator_failures_ = 0;           // consecutive watch calls without an answer
+    instant config_newest_at_{};          // the last time at which the table had no newer configuration than this entry
+    std::optional<instant> behind_since_; // since when a live peer has a newer configuration than this entry
+    bool config_usable_ = false;          // recent enough to accept jobs by
+    bool config_was_newest_ = false;      // the configuration was the newest known one at some time since the start
+    settings_version config_unreadable_;  // version that was copied completely from a peer but could not be parsed
     config_copy copy_;
     config_sources copy_sources_;
-    config_readers copy_readers_;
-    bool copying_ = false; // a piece is asked for
+    config_reader_slots copy_readers_;
+    bool copying_ = false; // a request for a piece is under way
     instant next_piece_{};
     instant next_unknown_queue_line_{};
     instant next_pending_line_{};
@@ -295,39 +344,39 @@
     std::map<entry_id, peer> peers_;
     std::map<cell_id, std::unique_ptr<flow_cell>> cells_;
     std::map<cell_id, data_centre_id> cell_places_;
-    std::map<cell_id, std::int64_t> assigned_cpu_; // to a cell since its last news
+    std::map<cell_id, std::int64_t> assigned_cpu_; // processor time assigned to each cell since its last news
     std::map<rack_id, cell_id> racks_;
     std::map<data_centre_id, data_centre_cells> layouts_;
-    bool layouts_known_ = false; // read at least once
+    bool layouts_known_ = false; // the layouts were read at least once
     bool reading_layouts_ = false;
-    instant layouts_read_at_{}; // asked for, when the newest answer came
+    instant layouts_read_at_{}; // when the last answered read of the layouts was sent
     instant next_layouts_read_{};
     bool watching_jobs_ = false;
     instant next_watch_{};
-    news_reading news_reading_;
+    news_read news_read_;
     instant next_news_line_{};
-    std::map<cell_id, int> ranks_; // this entry's, as an owner of each cell
+    std::map<cell_id, int> ranks_; // this entry's rank as a candidate owner of each cell
     instant next_ranks_{};
     std::vector<wire::flow_cell_news> own_news_;
     instant own_news_at_{};
-    absl::flat_hash_map<job_id, followed_job> followed_;
-    std::map<job_row_name, untold_row> untold_;
+    absl::flat_hash_map<job_id, tracked_job> tracked_jobs_;
+    std::map<job_row_name, unacknowledged_row> unacknowledged_rows_;
     pending_counts pending_;
     instant own_counts_at_{};
-    std::vector<pending_question> pending_questions_; // until the cells' rows have been read
-    pending_reading pending_reading_;
-    instant pending_cells_read_at_{}; // asked for, of all cells
+    std::vector<pending_request> pending_requests_; // requests that wait for the read of the cells' rows
+    pending_read pending_read_;
+    instant pending_cells_read_at_{}; // when the last complete read of the cells' rows was sent
     instant next_pending_read_{};
     std::map<net_address, std::vector<wire::flow_state_news>> state_news_;
     unusable_entries unusable_;
     instant next_list_{};
     bool listing_ = false;
-    std::int64_t takeovers_listed_ = 0; // takeovers of cells when the list was last asked for
+    std::int64_t takeovers_listed_ = 0; // number of takeovers when the worker list was last requested
     instant next_hello_{};
     instant next_members_{};
     instant next_entries_read_{};
-    instant next_untold_{};
-    bool may_own_ = false; // there are no jobs of an earlier release
+    instant next_row_resend_{};
+    bool legacy_jobs_absent_ = false; // the table holds no jobs of an earlier release, so cells may be owned
     std::int64_t accept_count_ = 0;
     flow_entry_stats stats_;
 };
--- a/src/flow_front.cpp
+++ b/src/flow_front.cpp
@@ -1,4 +1,4 @@
-// What callers ask of an entry: submitting a flow, its state, cancelling it, and how many of a queue wait.
+// Handles the requests of callers: submit a job, query its state, cancel it, and count the waiting jobs of a queue.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -17,22 +17,21 @@
 
 constexpr std::size_t job_id_length = 16;
 
-// To what the configuration does not have, while a newer one may have it.
-caller_answer wait_for_config()
+// The answer to requests for unknown names while a newer configuration may contain them.
+caller_answer retry_for_newer_config()
 {
-    return {caller_result::retry_later, flow_state::queued, 0, unavailable_retry,
-            "a newer configuration may be on its way"};
+    return {caller_result::retry_later, flow_state::queued, 0, unavailable_retry, "a newer configuration may exist"};
 }
 
-// Why a specification cannot run anywhere, empty when it can.
+// Returns why a specification can't run, or an empty string if it can.
 std::string find_problem(const flow_spec& spec)
 {
     if (spec.steps.empty()) {
-        return "a job needs a step";
+        return "a job needs at least one step";
     }
     for (std::size_t i = 0; i < spec.steps.size(); ++i) {
         const flow_step& step = spec.steps[i];
-        if (step.count < 1 || step.count > tasks_per_step_most) {
+        if (step.count < 1 || step.count > max_tasks_per_step) {
             return "a step's number of tasks is out of range";
         }
         for (const std::int32_t after : step.after) {
@@ -66,9 +65,9 @@
     }
     const flow_queue* const queue = match_queue(request.host, request.path);
     if (queue == nullptr) {
-        note_unknown_queue(now, request);
+        log_unknown_queue(now, request);
         if (!knows_newest_config(now)) {
-            reply(wait_for_config());
+            reply(retry_for_newer_config());
             return;
         }
         reply({caller_result::unknown_queue, flow_state::queued, 0, duration(0), "no such queue"});
@@ -80,15 +79,16 @@
         return;
     }
     if (rest.size() != job_id_length || rest.find_first_not_of("0123456789abcdefABCDEF") != std::string::npos) {
-        if (!knows_newest_config(now)) { // it may have a queue whose path begins with this one's
-            reply(wait_for_config());
+        if (!knows_newest_config(now)) { // a newer one may have a queue whose path begins with this queue's path
+            reply(retry_for_newer_config());
             return;
         }
         reply({caller_result::invalid, flow_state::queued, 0, duration(0), "a job's id is 16 hexadecimal digits"});
         return;
     }
     const job_id job(rest);
-    const duration request_timeout = request.request_timeout > duration(0) ? request.request_timeout : default_patience;
+    const duration request_timeout =
+        request.request_timeout > duration(0) ? request.request_timeout : default_request_timeout;
     const instant give_up = now + request_timeout - answer_margin;
     switch (request.verb) {
     case caller_verb::submit:
@@ -110,13 +110,13 @@
 void flow_entry::submit(instant now, const flow_queue& queue, const job_id& job, const caller_request& request,
                         instant give_up, caller_reply reply)
 {
-    const auto known = followed_.find(job);
-    if (known != followed_.end() && known->second.accepted) {
+    const auto known = tracked_jobs_.find(job);
+    if (known != tracked_jobs_.end() && known->second.accepted) {
         ++stats_.repeated;
         reply({caller_result::accepted, flow_state::queued, 0, duration(0), ""});
         return;
     }
-    if (known != followed_.end() && known->second.accepting) {
+    if (known != tracked_jobs_.end() && known->second.accepting) {
         known->second.waiting_accept.push_back(std::move(reply));
         return;
     }
@@ -126,16 +126,17 @@
         return;
     }
     if (!config_usable_) {
-        refuse_unless_there(job, {"a newer configuration is on its way", unavailable_retry}, std::move(reply));
+        refuse_unless_accepted(job, {"a newer configuration is being fetched", unavailable_retry}, std::move(reply));
         return;
     }
-    if (!leaving_ && !has_lasting_room(now, job, queue, *request.spec)) {
-        refuse_unless_there(job, {"no room for lasting tasks", full_retry}, std::move(reply));
+    if (!stopping_ && !has_lasting_room(now, job, queue, *request.spec)) {
+        refuse_unless_accepted(job, {"no room for lasting tasks", full_retry}, std::move(reply));
         return;
     }
     const auto cell = choose_cell(now, queue, *request.spec);
-    if (leaving_ || !cell) {
-        refuse_unless_there(job, {leaving_ ? "stopping" : "no cell", unavailable_retry}, std::move(reply));
+    if (stopping_ || !cell) {
+        refuse_unless_accepted(job, {stopping_ ? "entry is stopping" : "no cell serves the queue", unavailable_retry},
+                               std::move(reply));
         return;
     }
     wire::flow_job_row row = make_job_row(*request.spec);
@@ -152,13 +153,14 @@
         row.cell_epoch = own->second->epoch().value();
     }
     else {
-        // It may have fallen silent since the cell was chosen: an entry that was held up judges all peers so at first.
-        const peer* const owner = owner_of(now, *cell);
+        // The owner may count as failed since the cell was chosen: an entry that was suspended at first counts all
+        // peers as failed.
+        const peer* const owner = find_owner(now, *cell);
         for (std::size_t i = 0; owner != nullptr && i < owner->cells.size(); ++i) {
             row.cell_epoch = owner->cells[i].cell == cell->str() ? owner->cells[i].epoch : row.cell_epoch;
         }
     }
-    followed_job& f = followed_[job];
+    tracked_job& f = tracked_jobs_[job];
     f.accepting = true;
     f.asked = now;
     f.waiting_accept.push_back(std::move(reply));
@@ -167,10 +169,10 @@
 
 namespace {
 
-// What decides where a flow goes.
-struct flow_wants {
-    std::int64_t cpu = 0;   // of its widest step
-    std::int32_t tasks = 0; // of the widest step
+// The properties of a job that its cell is chosen by.
+struct job_needs {
+    std::int64_t cpu = 0;   // processor time of the widest step, in millicores
+    std::int32_t tasks = 0; // number of tasks of the widest step
     std::int64_t task_cpu = 0;
     std::int32_t per_worker_most = 0; // 0: no limit
     std::string label;
@@ -178,118 +180,120 @@
     bool filling = false;
     bool lasting = false;
     std::string image;      // of the widest step
-    std::string task_label; // without which a worker has no room for any of the tasks; empty: none
+    std::string task_label; // label that a worker needs to count as room for the tasks; empty: none
 };
 
-flow_wants wants_of(const flow_spec& spec)
+job_needs needs_of(const flow_spec& spec)
 {
-    flow_wants wants;
+    job_needs needs;
     for (const flow_step& step : spec.steps) {
-        if (step.need.cpu_millis * step.count >= wants.cpu) {
-            wants.cpu = step.need.cpu_millis * step.count;
-            wants.tasks = step.count;
-            wants.task_cpu = step.need.cpu_millis;
-            wants.per_worker_most = step.per_worker_most;
-            wants.image = step.image;
+        if (step.need.cpu_millis * step.count >= needs.cpu) {
+            needs.cpu = step.need.cpu_millis * step.count;
+            needs.tasks = step.count;
+            needs.task_cpu = step.need.cpu_millis;
+            needs.per_worker_most = step.per_worker_most;
+            needs.image = step.image;
         }
-        wants.label = step.label.empty() ? wants.label : step.label;
-        wants.rack = step.data_rack.valid() ? step.data_rack : wants.rack;
-        wants.filling = wants.filling || step.filling;
-        wants.lasting = wants.lasting || step.lasting;
+        needs.label = step.label.empty() ? needs.label : step.label;
+        needs.rack = step.data_rack.valid() ? step.data_rack : needs.rack;
+        needs.filling = needs.filling || step.filling;
+        needs.lasting = needs.lasting || step.lasting;
     }
-    return wants;
+    return needs;
 }
 
-bool serves_alone(const wire::flow_worker_room& room, const std::string& image)
+bool serves_only(const wire::flow_worker_room& room, const std::string& image)
 {
     return room.serving.empty() || room.serving == image;
 }
 
-std::int32_t tasks_that_fit(const wire::flow_worker_room& room, const flow_wants& wants)
+std::int32_t tasks_that_fit(const wire::flow_worker_room& room, const job_needs& needs)
 {
-    const auto here = static_cast<std::int32_t>(room.free_cpu_millis / std::max<std::int64_t>(1, wants.task_cpu));
-    return std::max(0, wants.per_worker_most > 0 ? std::min(here, wants.per_worker_most) : here);
+    const auto here = static_cast<std::int32_t>(room.free_cpu_millis / std::max<std::int64_t>(1, needs.task_cpu));
+    return std::max(0, needs.per_worker_most > 0 ? std::min(here, needs.per_worker_most) : here);
 }
 
-// How many of the tasks the workers of a pool have room for now.
-std::int32_t tasks_that_fit(const wire::flow_pool_row& pool, const flow_wants& wants)
+// Returns the number of tasks that the workers of a pool have room for now.
+std::int32_t tasks_that_fit(const wire::flow_pool_row& pool, const job_needs& needs)
 {
-    const auto label = std::find(pool.labels.begin(), pool.labels.end(), wants.task_label) - pool.labels.begin();
+    const auto label = std::find(pool.labels.begin(), pool.labels.end(), needs.task_label) - pool.labels.begin();
     std::int32_t fit = 0;
     for (const wire::flow_worker_room& room : pool.each) {
         const bool labelled =
-            wants.task_label.empty() || std::find(room.labels.begin(), room.labels.end(), label) != room.labels.end();
-        fit += labelled ? tasks_that_fit(room, wants) : 0;
+            needs.task_label.empty() || std::find(room.labels.begin(), room.labels.end(), label) != room.labels.end();
+        fit += labelled ? tasks_that_fit(room, needs) : 0;
     }
-    return std::min(fit, wants.tasks);
+    return std::min(fit, needs.tasks);
 }
 
-// Takes what the tasks will need out of what a cell last said of its room, in the order in which its owner places them.
-void take_room(wire::flow_pool_row& pool, const flow_wants& wants)
+// Subtracts the needs of the tasks from the room that a cell last reported, worker by worker in the order in which the
+// cell's owner places them.
+void take_room(wire::flow_pool_row& pool, const job_needs& needs)
 {
-    std::int32_t left = wants.tasks;
+    std::int32_t left = needs.tasks;
     const auto take = [&](auto&& wanted) {
         for (wire::flow_worker_room& room : pool.each) {
             if (left == 0 || !wanted(room)) {
                 continue;
             }
-            const std::int32_t here = std::min(left, tasks_that_fit(room, wants));
-            room.free_cpu_millis -= static_cast<std::int32_t>(here * wants.task_cpu);
+            const std::int32_t here = std::min(left, tasks_that_fit(room, needs));
+            room.free_cpu_millis -= static_cast<std::int32_t>(here * needs.task_cpu);
             left -= here;
-            if (wants.lasting && here > 0) {
-                room.serving = serves_alone(room, wants.image) ? wants.image : several_images;
+            if (needs.lasting && here > 0) {
+                room.serving = serves_only(room, needs.image) ? needs.image : several_images;
             }
         }
     };
-    if (wants.lasting) {
-        take([&](const wire::flow_worker_room& room) { return room.serving == wants.image; });
+    if (needs.lasting) {
+        take([&](const wire::flow_worker_room& room) { return room.serving == needs.image; });
         take([&](const wire::flow_worker_room& room) { return room.serving.empty(); });
     }
     take([](const wire::flow_worker_room&) { return true; });
-    if (wants.lasting) {
-        pool.serving_cpu_millis[wants.image] += wants.cpu;
+    if (needs.lasting) {
+        pool.serving_cpu_millis[needs.image] += needs.cpu;
     }
 }
 
-// Between 0 and 1, the same at every entry: entries that know nothing of each other's choices yet send an image to the
-// same cell, and different images to different ones.
-double draw(const std::string& image, const std::string& cell)
+// Returns a value between 0 and 1 that is the same at every entry. Entries that do not know each other's recent choices
+// thereby send an image to the same cell, and different images to different cells.
+double image_cell_preference(const std::string& image, const std::string& cell)
 {
     const std::string text = image + '/' + cell;
     return static_cast<double>(XXH64(text.data(), text.size(), 0) >> 11) / static_cast<double>(1ULL << 53);
 }
 
-double cell_score(const std::string& cell, const wire::flow_pool_row& pool, const flow_wants& wants,
+double cell_score(const std::string& cell, const wire::flow_pool_row& pool, const job_needs& needs,
                   std::int64_t assigned)
 {
     const auto total = static_cast<double>(pool.total_cpu_millis);
     const double unused = static_cast<double>(pool.unused_cpu_millis - assigned) / total;
     const double free = static_cast<double>(pool.free_cpu_millis - assigned) / total;
-    if (wants.lasting) {
-        // All of them at once if they fit, then where their image serves already, then where most is left.
-        const auto tasks = static_cast<double>(wants.tasks);
-        const auto own_image = pool.serving_cpu_millis.find(wants.image);
-        const double together =
+    if (needs.lasting) {
+        // Prefers cells where all tasks fit at once, then those where the image is already served, then those with the
+        // most room.
+        const auto tasks = static_cast<double>(needs.tasks);
+        const auto own_image = pool.serving_cpu_millis.find(needs.image);
+        const double own_image_cpu =
             own_image == pool.serving_cpu_millis.end() ? 0 : static_cast<double>(own_image->second) / total;
-        return 3 * tasks_that_fit(pool, wants) / tasks + free + together + 0.1 * draw(wants.image, cell);
+        return 3 * tasks_that_fit(pool, needs) / tasks + free + own_image_cpu +
+               0.1 * image_cell_preference(needs.image, cell);
     }
-    const auto borne = pool.fill_cpu_millis.find(wants.image);
-    if (wants.filling && borne != pool.fill_cpu_millis.end()) {
-        return std::min(static_cast<double>(borne->second - assigned) / total, unused);
+    const auto fill_room = pool.fill_cpu_millis.find(needs.image);
+    if (needs.filling && fill_room != pool.fill_cpu_millis.end()) {
+        return std::min(static_cast<double>(fill_room->second - assigned) / total, unused);
     }
-    if (wants.filling) {
+    if (needs.filling) {
         return unused;
     }
-    // All tasks at once if they fit, then where most is left for those that come after.
-    return static_cast<double>(tasks_that_fit(pool, wants)) / std::max(1, wants.tasks) + 0.5 * free;
+    // Prefers cells where all tasks fit at once, then those with the most room for later tasks.
+    return static_cast<double>(tasks_that_fit(pool, needs)) / std::max(1, needs.tasks) + 0.5 * free;
 }
 
 } // namespace
 
-// What the cells owned here would say of themselves, looked up afresh now and then only.
 std::vector<wire::flow_cell_news>& flow_entry::own_news(instant now)
 {
-    if (now - own_news_at_ >= own_news_fresh) {
+    if (now - own_news_at_ >= max_own_news_age) {
         own_news_.clear();
         for (const auto& [id, cell] : cells_) {
             if (cell->current_role() == flow_cell::role::owning) {
@@ -302,40 +306,39 @@
     return own_news_;
 }
 
-// Shows `weigh` what each cell with a live owner last told, and whether that owner is this entry.
-template <class Weigh> void flow_entry::each_news(instant now, Weigh&& weigh)
+template <class Visitor> void flow_entry::for_each_news(instant now, Visitor&& consider)
 {
     for (wire::flow_cell_news& news : own_news(now)) {
-        weigh(news, true);
+        consider(news, true);
     }
     for (auto& [id, p] : peers_) {
-        if (heard(p, now) && !p.leaving) {
+        if (is_live(p, now) && !p.leaving) {
             for (wire::flow_cell_news& news : p.cells) {
-                weigh(news, false);
+                consider(news, false);
             }
         }
     }
 }
 
-// The cell that serves the flow best, counting what was sent there since it last told.
+// Chooses the cell with the highest score, taking into account the work sent there since its last news.
 std::optional<cell_id> flow_entry::choose_cell(instant now, const flow_queue& queue, const flow_spec& spec)
 {
-    const flow_wants wants = wants_of(spec);
+    const job_needs needs = needs_of(spec);
     std::optional<cell_id> best;
     double best_score = 0;
     wire::flow_pool_row* best_pool = nullptr;
-    const auto weigh = [&](wire::flow_cell_news& news, bool own) {
+    const auto consider = [&](wire::flow_cell_news& news, bool own) {
         for (wire::flow_pool_row& pool : news.pools) {
             if (pool.service_name != queue.service || pool.total_cpu_millis <= 0) {
                 continue;
             }
             const cell_id id(news.cell);
-            double score = cell_score(news.cell, pool, wants, assigned_cpu_[id]);
-            // Its tasks that need the label are given to a cell that has it, after a wait.
-            score -= has_label(pool.labels, wants.label) ? 0.0 : 10.0;
-            score += own && !wants.lasting ? 0.01 : 0.0; // as good a cell here spares a message
-            const auto home = racks_.find(wants.rack);
-            score += wants.rack.valid() && home != racks_.end() && home->second == id ? 1.0 : 0.0;
+            double score = cell_score(news.cell, pool, needs, assigned_cpu_[id]);
+            // Without the label, the tasks that need it are handed to another cell after a wait.
+            score -= has_label(pool.labels, needs.label) ? 0.0 : 10.0;
+            score += own && !needs.lasting ? 0.01 : 0.0; // between equal cells an own one saves a message
+            const auto home = racks_.find(needs.rack);
+            score += needs.rack.valid() && home != racks_.end() && home->second == id ? 1.0 : 0.0;
             if (!best || score > best_score) {
                 best = id;
                 best_score = score;
@@ -343,45 +346,45 @@
             }
         }
     };
-    each_news(now, weigh);
+    for_each_news(now, consider);
     if (best) {
-        assigned_cpu_[*best] += wants.cpu;
-        take_room(*best_pool, wants);
+        assigned_cpu_[*best] += needs.cpu;
+        take_room(*best_pool, needs);
     }
     return best;
 }
 
-// Whether all tasks of a lasting job find workers now and leave what jobs that end need. Accepted beyond that, they
-// would hold everything for minutes, wait for each other, and let work wait that is due in seconds.
+// All tasks of a lasting job must have room now, and leave the reserve for jobs that end by themselves. Accepted beyond
+// that, lasting jobs would occupy everything for minutes, wait for each other, and delay work that is due in seconds.
 bool flow_entry::has_lasting_room(instant now, const job_id& job, const flow_queue& queue, const flow_spec& spec)
 {
-    const flow_wants wants = wants_of(spec);
-    if (!wants.lasting) {
+    const job_needs needs = needs_of(spec);
+    if (!needs.lasting) {
         return true;
     }
     std::int64_t total = 0;
     std::int64_t free = 0;
     std::int64_t demand = 0;
     std::int32_t fit = 0;
-    each_news(now, [&](wire::flow_cell_news& news, bool) {
+    for_each_news(now, [&](wire::flow_cell_news& news, bool) {
         for (const wire::flow_pool_row& pool : news.pools) {
             if (pool.service_name == queue.service && pool.total_cpu_millis > 0) {
                 total += pool.total_cpu_millis;
                 demand += pool.demand_cpu_millis;
                 free += pool.free_cpu_millis - assigned_cpu_[cell_id(news.cell)];
-                fit += tasks_that_fit(pool, wants);
+                fit += tasks_that_fit(pool, needs);
             }
         }
     });
     const double reserve = batch_reserve(demand, total);
-    const bool room = total == 0 || (fit >= wants.tasks &&
-                                     static_cast<double>(free - wants.cpu) >= reserve * static_cast<double>(total));
+    const bool room = total == 0 || (fit >= needs.tasks &&
+                                     static_cast<double>(free - needs.cpu) >= reserve * static_cast<double>(total));
     if (!room) {
         edges_.note(log_level::info, "job", "no_lasting_room",
                     {{"job", job.str()},
-                     {"wants_tasks", std::to_string(wants.tasks)},
+                     {"wants_tasks", std::to_string(needs.tasks)},
                      {"fit_tasks", std::to_string(fit)},
-                     {"wants_cpu", std::to_string(wants.cpu)},
+                     {"wants_cpu", std::to_string(needs.cpu)},
                      {"free_cpu", std::to_string(free)},
                      {"total_cpu", std::to_string(total)},
                      {"reserve", std::to_string(reserve)}});
@@ -389,9 +392,9 @@
     return room;
 }
 
-// A caller that got no answer asks again, at any entry: its job may be there already, and then it must not be told that
-// it will never run.
-void flow_entry::refuse_unless_there(const job_id& job, const refusal& why, caller_reply reply)
+// A caller without an answer may repeat its request at any entry. Its job may already be in the table, and then the
+// caller must not be told that the job will never run.
+void flow_entry::refuse_unless_accepted(const job_id& job, const refusal& why, caller_reply reply)
 {
     if (table_away_ && !relay_peer()) {
         ++stats_.refused;
@@ -446,7 +449,8 @@
         notify_cell_owner(now, accepted_row(cell_id(row.cell), job), row, result.version);
         return;
     case table_outcome::conflict: {
-        // The job is there: accepted before, by this entry (its answer was lost) or through another one.
+        // The job is in the table: it was accepted before, by this entry (the table's answer was lost) or by another
+        // one.
         ++stats_.repeated;
         const auto there =
             result.rows.empty() ? std::nullopt : read_flow_row<wire::flow_job_row>(edges_, result.rows.front());
@@ -462,7 +466,7 @@
         break;
     }
     const bool in_doubt = may_be_in_force || result.outcome == table_outcome::unknown;
-    if (now + accept_retry < give_up && (in_doubt || tries < accept_tries)) {
+    if (now + accept_retry < give_up && (in_doubt || tries < max_accept_attempts)) {
         edges_.after(accept_retry, [this, job, row, give_up, tries, in_doubt](instant) {
             write_job(job, row, give_up, tries + 1, in_doubt);
         });
@@ -478,11 +482,11 @@
 
 void flow_entry::answer_accept(instant now, const job_id& job, const caller_answer& answer)
 {
-    const auto at = followed_.find(job);
-    if (at == followed_.end()) {
+    const auto at = tracked_jobs_.find(job);
+    if (at == tracked_jobs_.end()) {
         return;
     }
-    followed_job& f = at->second;
+    tracked_job& f = at->second;
     f.accepting = false;
     stats_.accept_times.add(now - f.asked);
     f.accepted = answer.result == caller_result::accepted;
@@ -490,7 +494,7 @@
     std::vector<caller_reply> waiting;
     waiting.swap(f.waiting_accept);
     if (!f.accepted) {
-        followed_.erase(at);
+        tracked_jobs_.erase(at);
     }
     for (const caller_reply& reply : waiting) {
         reply(answer);
@@ -500,18 +504,18 @@
 void flow_entry::notify_cell_owner(instant now, const job_row_name& name, const wire::flow_job_row& row,
                                    row_version version)
 {
-    untold_row& untold = untold_[name];
-    untold.row = row;
-    untold.bytes = encode_compact(row);
-    untold.version = version;
-    tell_owner(now, name);
+    unacknowledged_row& unacknowledged = unacknowledged_rows_[name];
+    unacknowledged.row = row;
+    unacknowledged.bytes = encode_compact(row);
+    unacknowledged.version = version;
+    send_row_to_owner(now, name);
 }
 
-// The owner learns of a new row at once; until it has answered, it is told again.
-void flow_entry::tell_owner(instant now, const job_row_name& name)
+// Notifies the owner of a new row at once, and again until the owner acknowledges it.
+void flow_entry::send_row_to_owner(instant now, const job_row_name& name)
 {
-    const auto at = untold_.find(name);
-    if (at == untold_.end() || at->second.telling) {
+    const auto at = unacknowledged_rows_.find(name);
+    if (at == unacknowledged_rows_.end() || at->second.sending) {
         return;
     }
     const auto own = cells_.find(name.cell);
@@ -519,16 +523,16 @@
         return; // tick() tries again
     }
     if (own != cells_.end() && own->second->accepts_job_news()) {
-        const untold_row row = std::move(at->second);
-        untold_.erase(at);
+        const unacknowledged_row row = std::move(at->second);
+        unacknowledged_rows_.erase(at);
         own->second->on_job_row(now, name, row.row, row.version);
         return;
     }
-    const peer* const owner = owner_of(now, name.cell);
+    const peer* const owner = find_owner(now, name.cell);
     if (owner == nullptr) {
         return; // tick() tries again
     }
-    at->second.telling = true;
+    at->second.sending = true;
     wire::flow_message message;
     wire::flow_row_news news;
     news.job = name.job.str();
@@ -540,19 +544,19 @@
     edges_.send_message(
         owner->identity.address, message,
         [this, name, version = at->second.version](instant, const std::optional<wire::flow_message>& answer) {
-            const auto row = untold_.find(name);
-            if (row == untold_.end()) {
+            const auto row = unacknowledged_rows_.find(name);
+            if (row == unacknowledged_rows_.end()) {
                 return;
             }
-            row->second.telling = false;
+            row->second.sending = false;
             if (answer && answer->unknown_jobs.empty() && row->second.version == version) {
-                untold_.erase(row);
+                unacknowledged_rows_.erase(row);
             }
         });
 }
 
-// The cell that has most left, or for a lasting task where most of its image serves, with a worker that one more task
-// of the step fits on.
+// Returns another cell with a worker that one more task of the step fits on: the one with the most room, or for a
+// lasting task the one where its image is served most.
 std::optional<std::pair<cell_id, epoch>> flow_entry::find_cell_with_room(instant now, const cell_id& from,
                                                                          const std::string& service,
                                                                          const flow_step& step, room_kind kind)
@@ -560,29 +564,29 @@
     const wire::flow_cell_news* best = nullptr;
     std::int64_t best_score = 0;
     wire::flow_pool_row* best_pool = nullptr;
-    flow_wants wants;
-    wants.tasks = 1;
-    wants.cpu = step.need.cpu_millis;
-    wants.task_cpu = step.need.cpu_millis;
-    wants.lasting = step.lasting;
-    wants.image = step.image;
-    wants.task_label = step.label;
-    const auto weigh = [&](wire::flow_cell_news& news, bool) {
+    job_needs needs;
+    needs.tasks = 1;
+    needs.cpu = step.need.cpu_millis;
+    needs.task_cpu = step.need.cpu_millis;
+    needs.lasting = step.lasting;
+    needs.image = step.image;
+    needs.task_label = step.label;
+    const auto consider = [&](wire::flow_cell_news& news, bool) {
         if (news.cell == from.str()) {
             return;
         }
         for (wire::flow_pool_row& pool : news.pools) {
-            const auto borne = pool.fill_cpu_millis.find(step.image);
-            const bool known = step.filling && borne != pool.fill_cpu_millis.end();
-            const std::int64_t left = (known          ? borne->second
+            const auto fill_room = pool.fill_cpu_millis.find(step.image);
+            const bool known = step.filling && fill_room != pool.fill_cpu_millis.end();
+            const std::int64_t left = (known          ? fill_room->second
                                        : step.filling ? pool.unused_cpu_millis
                                                       : pool.free_cpu_millis) -
                                       assigned_cpu_[cell_id(news.cell)];
             const bool fits_worker = pool.largest_free_memory_mib >= step.need.memory_mib &&
-                                     (step.filling || tasks_that_fit(pool, wants) > 0);
-            // An owner that has just taken its cell over has heard of no worker yet.
+                                     (step.filling || tasks_that_fit(pool, needs) > 0);
+            // An owner that has just taken over the cell knows of no worker yet.
             const std::int64_t largest_free = pool.each.empty() ? 0 : pool.each.front().free_cpu_millis;
-            const auto together = pool.serving_cpu_millis.find(step.image);
+            const auto own_image_cpu = pool.serving_cpu_millis.find(step.image);
             if (kind == room_kind::reservable) {
                 const std::int64_t short_work =
                     pool.total_cpu_millis - pool.lasting_cpu_millis - assigned_cpu_[cell_id(news.cell)];
@@ -595,8 +599,9 @@
                 continue;
             }
             const std::int64_t score =
-                step.lasting ? 1 + largest_free + (together == pool.serving_cpu_millis.end() ? 0 : together->second)
-                             : left;
+                step.lasting
+                    ? 1 + largest_free + (own_image_cpu == pool.serving_cpu_millis.end() ? 0 : own_image_cpu->second)
+                    : left;
             if (pool.service_name == service && has_label(pool.labels, step.label) && fits_worker &&
                 (step.lasting || left >= step.need.cpu_millis) && score > best_score) {
                 best = &news;
@@ -605,30 +610,30 @@
             }
         }
     };
-    each_news(now, weigh);
+    for_each_news(now, consider);
     if (best == nullptr) {
         return std::nullopt;
     }
     assigned_cpu_[cell_id(best->cell)] += step.need.cpu_millis;
     if (!step.filling) {
-        take_room(*best_pool, wants);
+        take_room(*best_pool, needs);
     }
     return std::make_pair(cell_id(best->cell), epoch(best->epoch));
 }
 
-// Of memory a cell tells only how much its emptiest worker has: its owner may find room for fewer.
+// A cell reports only the largest free memory of one worker, so its owner may find room for fewer tasks.
 std::vector<flow_cell_room> flow_entry::list_cells_with_room(instant now, const cell_id& from,
                                                              const std::string& service, const flow_step& step)
 {
-    flow_wants wants;
-    wants.tasks = step.count;
-    wants.task_cpu = step.filling ? 0 : step.need.cpu_millis;
-    wants.per_worker_most = step.per_worker_most;
-    wants.task_label = step.label;
+    job_needs needs;
+    needs.tasks = step.count;
+    needs.task_cpu = step.filling ? 0 : step.need.cpu_millis;
+    needs.per_worker_most = step.per_worker_most;
+    needs.task_label = step.label;
     std::vector<flow_cell_room> rooms;
-    each_news(now, [&](const wire::flow_cell_news& news, bool) {
+    for_each_news(now, [&](const wire::flow_cell_news& news, bool) {
         for (const wire::flow_pool_row& pool : news.pools) {
-            const std::int32_t tasks = tasks_that_fit(pool, wants);
+            const std::int32_t tasks = tasks_that_fit(pool, needs);
             if (news.cell != from.str() && pool.service_name == service && tasks > 0 &&
                 pool.largest_free_memory_mib >= step.need.memory_mib) {
                 rooms.push_back({cell_id(news.cell), epoch(news.epoch), tasks});
@@ -645,7 +650,7 @@
 {
     std::int64_t total = 0;
     std::int64_t free = 0;
-    each_news(now, [&](const wire::flow_cell_news& news, bool) {
+    for_each_news(now, [&](const wire::flow_cell_news& news, bool) {
         for (const wire::flow_pool_row& pool : news.pools) {
             const bool counts = pool.service_name == service;
             total += counts ? pool.total_cpu_millis : 0;
@@ -655,7 +660,7 @@
     return total == 0 ? 1.0 : 1.0 - static_cast<double>(free) / static_cast<double>(total);
 }
 
-void flow_entry::tell_states()
+void flow_entry::send_job_states()
 {
     if (state_news_.empty()) {
         return;
@@ -665,7 +670,7 @@
     for (auto& [address, states] : news) {
         wire::flow_message message;
         message.states = states;
-        // A message that is lost costs its job one read of the table, when its caller asks again.
+        // A lost message costs one read of the table when the caller next queries the job.
         edges_.send_message(address, message, [](instant, const std::optional<wire::flow_message>&) {});
     }
 }
@@ -674,17 +679,17 @@
 
 void flow_entry::ask_state(instant now, const job_id& job, caller_reply reply)
 {
-    const auto at = followed_.find(job);
-    if (at != followed_.end() && at->second.accepted) {
-        followed_job& f = at->second;
+    const auto at = tracked_jobs_.find(job);
+    if (at != tracked_jobs_.end() && at->second.accepted) {
+        tracked_job& f = at->second;
         const bool final =
             f.state == flow_state::done || f.state == flow_state::failed || f.state == flow_state::cancelled;
-        if (final || now - f.checked < state_fresh) {
+        if (final || now - f.checked < max_job_state_age) {
             reply({caller_result::state, f.state, 0, duration(0), ""});
             return;
         }
     }
-    followed_job& f = followed_[job];
+    tracked_job& f = tracked_jobs_[job];
     f.waiting_state.push_back(std::move(reply));
     if (!f.reading) {
         read_state(job);
@@ -693,14 +698,14 @@
 
 void flow_entry::read_state(const job_id& job)
 {
-    followed_[job].reading = true;
+    tracked_jobs_[job].reading = true;
     ++stats_.state_reads;
     edges_.read(index_rows(job), [this, job](instant then, const store_page& page) {
-        const auto at = followed_.find(job);
-        if (at == followed_.end()) {
+        const auto at = tracked_jobs_.find(job);
+        if (at == tracked_jobs_.end()) {
             return;
         }
-        followed_job& f = at->second;
+        tracked_job& f = at->second;
         f.reading = false;
         std::vector<caller_reply> waiting;
         waiting.swap(f.waiting_state);
@@ -708,7 +713,7 @@
         if (page.reached && page.rows.empty()) {
             answer = {caller_result::unknown_job, flow_state::queued, 0, duration(0), "no such job"};
             if (!f.accepting) {
-                followed_.erase(at);
+                tracked_jobs_.erase(at);
             }
         }
         else if (page.reached) {
@@ -721,7 +726,7 @@
             }
         }
         else if (f.accepted) {
-            answer = {caller_result::state, f.state, 0, duration(0), ""}; // the newest that is known
+            answer = {caller_result::state, f.state, 0, duration(0), ""}; // the last known state
         }
         for (const caller_reply& reply : waiting) {
             reply(answer);
@@ -729,11 +734,11 @@
     });
 }
 
-// What an owner, here or elsewhere, says has become of a job this entry answers callers for.
-void flow_entry::note_state(instant now, const job_id& job, flow_state state)
+// Records a job's state as reported by the owner of its cell.
+void flow_entry::update_job_state(instant now, const job_id& job, flow_state state)
 {
-    const auto at = followed_.find(job);
-    if (at != followed_.end()) {
+    const auto at = tracked_jobs_.find(job);
+    if (at != tracked_jobs_.end()) {
         at->second.state = state;
         at->second.checked = now;
     }
@@ -770,7 +775,7 @@
     });
 }
 
-// Rows of its own, so that it waits for no owner's writes and no owner's writes for it.
+// A cancel has rows of its own, so that it does not conflict with writes of the cell's owner.
 void flow_entry::write_cancel(const job_id& job, const cell_id& cell, instant give_up, caller_reply reply)
 {
     wire::flow_job_row row;
@@ -789,8 +794,8 @@
             const row_version version = there ? result.rows.front().version : result.version;
             edges_.note(log_level::info, "job", "cancel_accepted",
                         {{"job", job.str()}, {"version", std::to_string(version.value())}});
-            const auto at = followed_.find(job);
-            if (at != followed_.end()) {
+            const auto at = tracked_jobs_.find(job);
+            if (at != tracked_jobs_.end()) {
                 at->second.state = flow_state::cancelled;
             }
             reply({caller_result::cancelled, flow_state::cancelled, 0, duration(0), ""});
--- a/src/flow_metrics_p.h
+++ b/src/flow_metrics_p.h
@@ -1,4 +1,4 @@
-// What an entry counts about flows, and the text page that shows it.
+// The counters and histograms of an entry, and their text form on the metrics page.
 #pragma once
 
 #include <array>
@@ -15,38 +15,40 @@
 
 namespace skylarkhub {
 
-// Latencies in the buckets of a metrics page. Counts of several entries add up.
+// A latency histogram for the metrics page. Histograms of several entries can be added up.
 class latency_buckets {
 public:
-    // Upper ends in seconds: from an answer out of memory to a job that waited for a whole outage.
+    // Upper bounds in seconds, from an answer out of memory up to a job that waited during an outage.
     static constexpr std::array<double, 13> bucket_ends{0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5,
                                                         1,     2.5,  5,     10,   25,  60};
     void add(duration latency);
     std::int64_t count() const;
-    // Appends the histogram's lines; `labels` is empty or ends without a comma: `kind="short"`.
+    // Appends the histogram's lines to `page`. `labels` is empty or a list without a final comma, such as
+    // `kind="short"`.
     void write(std::string& page, std::string_view name, std::string_view labels) const;
 
 private:
-    std::array<std::int64_t, bucket_ends.size()> counts_{}; // of each bucket alone
+    std::array<std::int64_t, bucket_ends.size()> counts_{}; // by bucket, not cumulative
     boost::accumulators::accumulator_set<
         double, boost::accumulators::stats<boost::accumulators::tag::count, boost::accumulators::tag::sum>>
         seconds_;
 };
 
-// What kind of task a figure is of.
+// The kinds of tasks that waits are counted by: `filling` tasks use processor time that others leave unused, `lasting`
+// tasks run until they are cancelled.
 enum class task_kind : std::uint8_t { short_lived, filling, lasting };
 inline constexpr std::array<const char*, 3> task_kind_names{"short", "filling", "lasting"};
 
-// Of the cells that an entry owned since it started.
+// Counters of one cell while this entry owned it, since the entry started.
 struct flow_cell_stats {
     std::int64_t starts = 0;
     std::int64_t done = 0;
     std::int64_t failed = 0;
     std::int64_t stopped = 0;
-    std::int64_t lapsed = 0; // lapsed, or broken off by another member of a gang
-    std::int64_t lost = 0;   // runs that ended with their worker
-    std::int64_t behind = 0; // runs that had fallen behind and were started again or copied
-    std::int64_t moved = 0;  // filling runs moved to where they press on nobody
+    std::int64_t lapsed = 0; // runs whose lease lapsed, or that another member of their gang stopped
+    std::int64_t lost = 0;   // runs that ended because their worker did
+    std::int64_t behind = 0; // slow runs that were restarted or copied
+    std::int64_t moved = 0;  // filling runs moved because they disturbed other tasks
     std::int64_t handed_off = 0;
     std::int64_t commits = 0;
     std::int64_t commits_failed = 0;
@@ -54,10 +56,10 @@
     std::int64_t holds = 0;
     std::int64_t holds_unanswered = 0;
     std::int64_t takeovers = 0;
-    std::int64_t ownership_losses = 0;                         // of a cell to another owner
-    std::array<latency_buckets, task_kind_names.size()> waits; // from ready to placed
-    latency_buckets job_times;                                 // from accepted to ended, on this entry's wall clock
-    latency_buckets start_times; // from sending a start to its worker's yes, retries included
+    std::int64_t ownership_losses = 0;                         // ownerships lost to another entry
+    std::array<latency_buckets, task_kind_names.size()> waits; // from ready to placed, by task kind
+    latency_buckets job_times;   // from accepted to ended, on the wall clock of this entry
+    latency_buckets start_times; // from sending a start to the worker's confirmation, including retries
 };
 
 struct flow_entry_stats {
@@ -68,20 +70,21 @@
     std::int64_t cancels = 0;
     std::int64_t states = 0;
     std::int64_t state_reads = 0;
-    std::int64_t pending_reads = 0;   // of the cells' rows, for counts that were not heard of
-    std::int64_t pending_refused = 0; // questions how many jobs wait
-    std::int64_t unknown_queues = 0;  // requests
-    std::int64_t config_copies = 0;   // sent to peers
+    std::int64_t pending_reads = 0;   // reads of the cells' rows, for counts that no peer reported
+    std::int64_t pending_refused = 0; // refused requests for the number of waiting jobs
+    std::int64_t unknown_queues = 0;  // requests for queues that the configuration lacks
+    std::int64_t config_copies = 0;   // copies sent to peers
     std::int64_t config_bytes = 0;
-    std::int64_t config_pieces_refused = 0;    // asked of peers in vain
-    std::int64_t config_looks_unanswered = 0;  // at the table
-    std::int64_t peers_unanswered = 0;         // exchanges with peers
-    std::int64_t unusable_entries = 0;         // of the list of workers, as read last
-    std::int64_t unusable_entries_noticed = 0; // newly unusable, or for another reason than before
-    latency_buckets accept_times;              // from the caller's request to the answer, refusals included
+    std::int64_t config_pieces_refused = 0;    // pieces requested from peers and not received
+    std::int64_t config_looks_unanswered = 0;  // watch calls of the table without an answer
+    std::int64_t peers_unanswered = 0;         // messages to peers without an answer
+    std::int64_t unusable_entries = 0;         // in the last read of the worker list
+    std::int64_t unusable_entries_noticed = 0; // entries that became unusable, or whose reason changed
+    latency_buckets accept_times;              // from the caller's request to the answer, including refusals
 };
 
-// A counter, or a gauge whose name does not end in _total; `labels` as above.
+// Appends one value to `page`: a counter if the name ends in _total, otherwise a gauge. `labels` as in
+// latency_buckets::write().
 void write_value(std::string& page, std::string_view name, std::string_view labels, std::int64_t value);
 void write_stats(std::string& page, const flow_entry_stats& stats);
 void write_stats(std::string& page, std::string_view cell, const flow_cell_stats& stats);
--- a/src/flow_peers.cpp
+++ b/src/flow_peers.cpp
@@ -1,4 +1,5 @@
-// The entries that know each other: who lives, who owns which cell, and which configuration each has.
+// Exchanges hellos with the other entries: which of them are live, which cells each owns, and which configuration each
+// has.
 #include <algorithm>
 
 #include "flow_entry_p.h"
@@ -45,7 +46,8 @@
 
 void flow_entry::read_entries(instant now)
 {
-    next_entries_read_ = now + (now - begun_ < 5 * entries_interval_start ? entries_interval_start : entries_interval);
+    next_entries_read_ =
+        now + (now - started_at_ < 5 * entries_interval_start ? entries_interval_start : entries_interval);
     edges_.read({entries_table, shared_part, "", ""}, [this](instant then, const store_page& page) {
         if (!page.reached) {
             return;
@@ -53,58 +55,58 @@
         for (const store_row& row : page.rows) {
             const auto decoded = read_flow_row<wire::flow_entry_row>(edges_, row);
             if (decoded) {
-                learn(*decoded);
+                add_peer(*decoded);
             }
         }
-        if (then - begun_ < 2 * entries_interval_start) {
-            tell_peers(then, true);
+        if (then - started_at_ < 2 * entries_interval_start) {
+            send_hellos(then, true);
         }
     });
 }
 
-void flow_entry::learn(const wire::flow_entry_row& row)
+void flow_entry::add_peer(const wire::flow_entry_row& row)
 {
     if (row.entry == self_.entry.str() || row.entry.empty()) {
         return;
     }
     const auto [at, added] = peers_.try_emplace(entry_id(row.entry));
     peer& p = at->second;
-    if (!added && p.ever_heard) {
-        return; // it says itself who it is
+    if (!added && p.hello_received) {
+        return; // the peer's own hello is more recent than the row
     }
     p.identity = identity_of(row);
 }
 
-bool flow_entry::heard(const peer& p, instant now) const
+bool flow_entry::is_live(const peer& p, instant now) const
 {
-    return p.ever_heard && now - p.heard < peer_silence;
+    return p.hello_received && now - p.last_hello_at < peer_timeout;
 }
 
 wire::flow_hello flow_entry::hello(instant now, bool with_members)
 {
     wire::flow_hello h;
     h.sender = row_of(self_);
-    h.leaving = leaving_;
+    h.leaving = stopping_;
     h.config_version = config_version().value();
     h.table_away = table_away_;
-    note_own_counts(now);
+    refresh_own_counts(now);
     h.sent_ms = std::chrono::floor<std::chrono::milliseconds>(now.time_since_epoch()).count();
     h.table_silent_ms = std::chrono::duration_cast<std::chrono::milliseconds>(now - table_answered_).count();
     for (const auto& [id, cell] : cells_) {
         if (cell->owns()) {
             h.cells.push_back(cell->cached_news(now));
-            tell_count(now, h.cells.back());
+            add_pending_count(now, h.cells.back());
         }
     }
     for (const auto& [id, p] : peers_) {
-        if (with_members && heard(p, now)) {
+        if (with_members && is_live(p, now)) {
             h.members.push_back(row_of(p.identity));
         }
     }
     return h;
 }
 
-void flow_entry::tell_peers(instant now, bool everyone)
+void flow_entry::send_hellos(instant now, bool everyone)
 {
     const bool with_members = everyone || now >= next_members_;
     if (with_members) {
@@ -113,51 +115,53 @@
     wire::flow_message message;
     message.__set_hello(hello(now, with_members));
     for (auto& [id, p] : peers_) {
-        // One exchange tells both sides, so of two that know each other one begins.
-        if (everyone || !heard(p, now) || self_.entry < id) {
-            echo_to(now, p, message.hello);
+        // An exchange informs both sides, so only one of two entries that know each other starts it.
+        if (everyone || !is_live(p, now) || self_.entry < id) {
+            set_echo(now, p, message.hello);
             send_message(now, p, message);
         }
     }
 }
 
-// Failure: a hello is long under way, held back by a cut or by an entry that stands still. Symptom: what it tells
-// passes for new when it arrives, and stands before newer news. So it says which hello of the receiver its sender had
-// had, and how long ago, and is as old as that at the most.
-void flow_entry::echo_to(instant now, const peer& p, wire::flow_hello& hello)
+// Failure: a hello is delayed by a partition or by an entry that was suspended. Symptom: its content counts as new on
+// arrival and replaces newer news. So a hello contains the send time of the last hello that its sender received from
+// the receiver, and how long ago that was; the receiver derives the earliest time at which the hello can have been
+// sent.
+void flow_entry::set_echo(instant now, const peer& p, wire::flow_hello& hello)
 {
     hello.echo_ms = p.sent_ms;
-    hello.echo_ago_ms = std::chrono::floor<std::chrono::milliseconds>(now - p.heard).count();
+    hello.echo_ago_ms = std::chrono::floor<std::chrono::milliseconds>(now - p.last_hello_at).count();
 }
 
-// Empty when the sender had not heard of this life.
-std::optional<instant> flow_entry::sent_after(instant now, const wire::flow_hello& hello) const
+// Returns the earliest time at which `hello` can have been sent, or nothing if its sender had not received a hello of
+// this entry since the entry started.
+std::optional<instant> flow_entry::earliest_send_time(instant now, const wire::flow_hello& hello) const
 {
     const instant sent{std::chrono::milliseconds(hello.echo_ms + hello.echo_ago_ms)};
-    const bool of_this_life = instant{std::chrono::milliseconds(hello.echo_ms + 1)} > begun_ && sent <= now;
+    const bool of_this_life = instant{std::chrono::milliseconds(hello.echo_ms + 1)} > started_at_ && sent <= now;
     return of_this_life ? std::optional(sent) : std::nullopt;
 }
 
 void flow_entry::send_message(instant now, peer& p, const wire::flow_message& message)
 {
-    if (p.telling) {
+    if (p.sending) {
         return;
     }
-    p.telling = true;
+    p.sending = true;
     edges_.send_message(
         p.identity.address, message,
         [this, id = p.identity.entry, asked = now](instant then, const std::optional<wire::flow_message>& answer) {
             const auto at = peers_.find(id);
             if (at != peers_.end()) {
-                at->second.telling = false;
+                at->second.sending = false;
             }
             if (answer) {
-                take_message(then, *answer, asked);
+                process_message(then, *answer, asked);
                 return;
             }
             ++stats_.peers_unanswered;
-            if (at != peers_.end() && !heard(at->second, then) && then - at->second.heard > peer_forgotten &&
-                then - begun_ > peer_forgotten) {
+            if (at != peers_.end() && !is_live(at->second, then) && then - at->second.last_hello_at > peer_retention &&
+                then - started_at_ > peer_retention) {
                 peers_.erase(at);
             }
         });
@@ -176,12 +180,12 @@
         reply(serve_config(now, message.config_ask));
     }
     else {
-        reply(take_message(now, message, std::nullopt));
+        reply(process_message(now, message, std::nullopt));
     }
 }
 
-wire::flow_message flow_entry::take_message(instant now, const wire::flow_message& message,
-                                            std::optional<instant> asked)
+wire::flow_message flow_entry::process_message(instant now, const wire::flow_message& message,
+                                               std::optional<instant> asked)
 {
     wire::flow_message answer;
     if (message.__isset.hello) {
@@ -204,37 +208,38 @@
                                  row_version(news.version));
     }
     for (const wire::flow_state_news& news : message.states) {
-        note_state(now, job_id(news.job), static_cast<flow_state>(news.state));
+        update_job_state(now, job_id(news.job), static_cast<flow_state>(news.state));
     }
     return answer;
 }
 
-// Whether the sender is in a life that this entry had not heard of.
+// Returns whether the sender's incarnation is new to this entry. `asked`: if the hello is an answer, when its request
+// was sent.
 bool flow_entry::on_hello(instant now, const wire::flow_hello& h, std::optional<instant> asked)
 {
     if (h.sender.entry == self_.entry.str()) {
         return false;
     }
     peer& p = peers_[entry_id(h.sender.entry)];
-    const bool new_life = !p.ever_heard || p.identity.incarnation.str() != h.sender.incarnation;
-    if (new_life || p.leaving != h.leaving || now - p.heard >= peer_silence) {
+    const bool new_life = !p.hello_received || p.identity.incarnation.str() != h.sender.incarnation;
+    if (new_life || p.leaving != h.leaving || now - p.last_hello_at >= peer_timeout) {
         edges_.note(
             log_level::info, "peer", "heard",
             {{"entry", h.sender.entry}, {"incarnation", h.sender.incarnation}, {"leaving", h.leaving ? "yes" : "no"}});
     }
     p.identity = identity_of(h.sender);
-    p.heard = now;
+    p.last_hello_at = now;
     p.sent_ms = h.sent_ms;
-    p.ever_heard = true;
+    p.hello_received = true;
     p.leaving = h.leaving;
     p.table_away = h.table_away;
     p.table_answered = now - std::chrono::milliseconds(h.table_silent_ms);
-    note_config(now, p, settings_version(h.config_version));
+    update_peer_config(now, p, settings_version(h.config_version));
     p.cells = h.cells;
-    const std::optional<instant> told_at = asked ? asked : sent_after(now, h);
+    const std::optional<instant> earliest_sent = asked ? asked : earliest_send_time(now, h);
     for (const wire::flow_cell_news& cell : h.cells) {
-        if (told_at) {
-            note_pending(*told_at, cell);
+        if (earliest_sent) {
+            update_pending_count(*earliest_sent, cell);
         }
         assigned_cpu_[cell_id(cell.cell)] = 0;
         for (auto& [id, own] : cells_) {
@@ -242,17 +247,17 @@
         }
     }
     for (const wire::flow_entry_row& member : h.members) {
-        learn(member);
+        add_peer(member);
     }
     return new_life;
 }
 
-const flow_entry::peer* flow_entry::owner_of(instant now, const cell_id& cell) const
+const flow_entry::peer* flow_entry::find_owner(instant now, const cell_id& cell) const
 {
     const peer* best = nullptr;
     std::int64_t best_epoch = 0;
     for (const auto& [id, p] : peers_) {
-        if (!heard(p, now)) {
+        if (!is_live(p, now)) {
             continue;
         }
         for (const wire::flow_cell_news& news : p.cells) {
@@ -268,11 +273,11 @@
 cell_candidacy flow_entry::candidacy(instant now, const flow_cell& cell) const
 {
     cell_candidacy c;
-    c.leaving = leaving_;
+    c.leaving = stopping_;
     const auto place = cell_places_.find(cell.id());
     c.same_data_centre = place != cell_places_.end() && place->second == self_.data_centre;
     const auto owner = peers_.find(entry_id(cell.row().owner));
-    if (owner != peers_.end() && heard(owner->second, now)) {
+    if (owner != peers_.end() && is_live(owner->second, now)) {
         const peer& p = owner->second;
         c.owner_live = p.identity.incarnation.str() == cell.row().incarnation;
         c.owner_leaving = c.owner_live && p.leaving;
--- a/src/flow_pending.cpp
+++ b/src/flow_pending.cpp
@@ -14,9 +14,9 @@
     return at == counts.end() ? 0 : at->second;
 }
 
-std::int32_t jobs_of(const timestamped_count& heard, const queue_id& queue)
+std::int32_t jobs_of(const timestamped_count& reported, const queue_id& queue)
 {
-    return jobs_of(heard.count.jobs, queue) + jobs_of(heard.newer, queue);
+    return jobs_of(reported.count.jobs, queue) + jobs_of(reported.newer, queue);
 }
 
 } // namespace
@@ -37,18 +37,18 @@
     return pending_count{row.pending, row_version(row.up_to)};
 }
 
-void pending_counts::hear(const cell_id& cell, const timestamped_count& heard)
+void pending_counts::hear(const cell_id& cell, const timestamped_count& reported)
 {
-    const auto [at, added] = heard_.try_emplace(cell, heard);
-    if (!added && heard.whole_at >= at->second.whole_at) {
-        at->second = heard;
+    const auto [at, added] = reported_.try_emplace(cell, reported);
+    if (!added && reported.complete_at >= at->second.complete_at) {
+        at->second = reported;
     }
 }
 
 const timestamped_count* pending_counts::find(const cell_id& cell) const
 {
-    const auto at = heard_.find(cell);
-    return at == heard_.end() ? nullptr : &at->second;
+    const auto at = reported_.find(cell);
+    return at == reported_.end() ? nullptr : &at->second;
 }
 
 std::variant<std::int64_t, counts_missing> pending_counts::count(const queue_id& queue, std::vector<cell_id> cells,
@@ -56,12 +56,12 @@
 {
     counts_missing missing;
     std::int64_t sum = 0;
-    for (const auto& [cell, heard] : heard_) {
+    for (const auto& [cell, reported] : reported_) {
         cells.erase(std::remove(cells.begin(), cells.end(), cell), cells.end());
-        if (!new_enough(heard.whole_at)) {
+        if (!new_enough(reported.complete_at)) {
             missing.cells.push_back(cell);
         }
-        sum += jobs_of(heard, queue);
+        sum += jobs_of(reported, queue);
     }
     missing.cells.insert(missing.cells.end(), cells.begin(), cells.end());
     if (!missing.cells.empty()) {
@@ -73,9 +73,9 @@
 std::string pending_counts::parts(const queue_id& queue, instant now) const
 {
     std::string parts;
-    for (const auto& [cell, heard] : heard_) {
-        parts += fmt::format("{}{}={}/{}", parts.empty() ? "" : ",", cell.str(), jobs_of(heard, queue),
-                             (now - heard.whole_at) / std::chrono::milliseconds(1));
+    for (const auto& [cell, reported] : reported_) {
+        parts += fmt::format("{}{}={}/{}", parts.empty() ? "" : ",", cell.str(), jobs_of(reported, queue),
+                             (now - reported.complete_at) / std::chrono::milliseconds(1));
     }
     return parts;
 }
--- a/src/flow_pending_p.h
+++ b/src/flow_pending_p.h
@@ -1,4 +1,4 @@
-// How many jobs wait in the cells of a site, as the owners of the cells have counted them.
+// The number of jobs that wait in each cell of a site, as counted by the cells' owners.
 #pragma once
 
 #include <functional>
@@ -13,44 +13,46 @@
 
 namespace skylarkhub {
 
-// Jobs of one cell no task of which has started, by queue. Those that were accepted since are not in it: whoever goes
-// by an old count adds them.
+// The jobs of one cell without a started task, by queue. Jobs accepted after `up_to` are not included; users of an old
+// count must add them.
 struct pending_count {
     std::map<std::string, std::int32_t> jobs;
-    row_version up_to; // of the table; all jobs accepted until then are counted
+    row_version up_to; // version of the table up to which accepted jobs are counted
 };
 wire::flow_pending_row to_row(const pending_count& count);
-// Empty when nobody has counted them, or not up to a known version.
+// Returns nothing if the row contains no count, or one without a known version.
 std::optional<pending_count> from_row(const wire::flow_pending_row& row);
 
-// A count and the time until when it has all jobs that were accepted, on the clock of who keeps it.
+// A count, and the time up to which it includes all accepted jobs, on the clock of the entry that stores it.
 struct timestamped_count {
     pending_count count;
-    instant whole_at{};
-    std::map<std::string, std::int32_t> newer{}; // jobs that were accepted after `count.up_to` and are known already
+    instant complete_at{};
+    std::map<std::string, std::int32_t> newer{}; // jobs accepted after `count.up_to` that are already known, by queue
 };
 
-// The cells of which no count is known that is new enough to answer by.
+// The cells without a known count that is recent enough for an answer.
 struct counts_missing {
     std::vector<cell_id> cells;
 };
 
-// The newest count of each cell that an entry has heard of. A cell that it has not heard of is missing, which is not
-// the same as none.
+// The newest reported count of each cell. A cell without a reported count is missing, which differs from a count of
+// zero.
 class pending_counts {
 public:
-    void hear(const cell_id& cell, const timestamped_count& heard);
-    // Null when none was heard of.
+    // Stores a reported count unless a newer one is stored.
+    void hear(const cell_id& cell, const timestamped_count& reported);
+    // Returns null if no count of the cell was reported.
     const timestamped_count* find(const cell_id& cell) const;
-    // The jobs of a queue in all `cells`, and in others heard of. `new_enough` judges the time until when a count is
-    // whole.
+    // Returns the jobs of a queue in all `cells` and in the other cells with a reported count, or the cells whose count
+    // is missing or too old. `new_enough` decides by the time up to which a count is complete.
     std::variant<std::int64_t, counts_missing> count(const queue_id& queue, std::vector<cell_id> cells,
                                                      const std::function<bool(instant)>& new_enough) const;
-    // What each cell heard of adds for the queue, and how old its count is: `CELL=JOBS/MILLISECONDS`.
+    // Returns each reported cell's jobs of the queue and the age of its count, as `CELL=JOBS/MILLISECONDS`, separated
+    // by commas.
     std::string parts(const queue_id& queue, instant now) const;
 
 private:
-    std::map<cell_id, timestamped_count> heard_;
+    std::map<cell_id, timestamped_count> reported_;
 };
 
 } // namespace skylarkhub
--- a/src/flow_relay.cpp
+++ b/src/flow_relay.cpp
@@ -1,7 +1,7 @@
-// The table through a peer. The platform may turn some entries away, or be cut off from them, for ten seconds while it
-// serves the others. An owner that cannot write shows none of its jobs done meanwhile, and callers at such an entry are
-// told to come back. Their calls go through a peer that the table still answers: the conditions on versions make a
-// relayed write that arrives late or twice as harmless as one of the entry's own.
+// Relays table calls through a peer. The platform may refuse some entries, or be partitioned from them, for ten seconds
+// while it serves the others. Without a relay an owner that cannot write would show none of its jobs as done meanwhile,
+// and callers at such an entry would be told to retry. Calls are relayed by a peer that the table still answers. The
+// version conditions make a relayed write that arrives late or twice as harmless as a direct one.
 #include <algorithm>
 
 #include "flow_entry_p.h"
@@ -123,7 +123,7 @@
 
 } // namespace
 
-void flow_entry::note_table(instant now, bool answered, const std::string& reason)
+void flow_entry::record_table_answer(instant now, bool answered, const std::string& reason)
 {
     if (answered) {
         table_answered_ = now;
@@ -135,32 +135,32 @@
         return;
     }
     ++table_failures_;
-    if (table_failures_ >= table_failures_most && !table_away_) {
+    if (table_failures_ >= max_table_failures && !table_away_) {
         table_away_ = true;
         edges_.note(log_level::warning, "table", "not_reached", {{"entry", self_.entry.str()}, {"reason", reason}});
         probe_table();
     }
 }
 
-// Whether the table has answered nobody since `since`, as far as this entry hears. One that hears from few entries is
-// itself cut off: others may go on with the table, and take over what it owns.
+// Returns whether no known live entry has had an answer of the table since `since`. An entry that reaches less than
+// half of the entries is itself partitioned: the others may still use the table and take over its cells.
 bool flow_entry::table_outage(instant now, instant since) const
 {
     const instant latest = since + outage_slack;
-    std::size_t heard_of = 1; // itself
+    std::size_t live_entries = 1; // itself
     if (table_answered_ > latest) {
         return false;
     }
     for (const auto& [id, p] : peers_) {
-        if (!heard(p, now)) {
+        if (!is_live(p, now)) {
             continue;
         }
-        ++heard_of;
+        ++live_entries;
         if (p.table_answered > latest) {
             return false;
         }
     }
-    return 2 * heard_of >= peers_.size() + 1;
+    return 2 * live_entries >= peers_.size() + 1;
 }
 
 void flow_entry::probe_table()
@@ -170,7 +170,7 @@
             return;
         }
         direct_.read(single_row_range(entry_key(self_.entry)), [this](instant then, const store_page& page) {
-            note_table(then, page.reached, page.reason);
+            record_table_answer(then, page.reached, page.reason);
             if (table_away_) {
                 probe_table();
             }
@@ -178,12 +178,12 @@
     });
 }
 
-// The peers in turn, so that none makes all calls of an entry that is turned away.
+// Selects the peers in turn, so that no single one relays all calls of an entry.
 std::optional<net_address> flow_entry::relay_peer()
 {
     std::vector<net_address> able;
     for (const auto& [id, p] : peers_) {
-        if (heard(p, ticked_at_) && !p.leaving && !p.table_away) {
+        if (is_live(p, ticked_at_) && !p.leaving && !p.table_away) {
             able.push_back(p.identity.address);
         }
     }
@@ -199,7 +199,7 @@
     if (!helper) {
         direct_.commit(std::move(transaction),
                        [this, done = std::move(done)](instant then, const store_result& result) {
-                           note_table(then, reached(result), result.reason);
+                           record_table_answer(then, reached(result), result.reason);
                            done(then, result);
                        });
         return;
@@ -209,7 +209,7 @@
     direct_.send_message(*helper, message,
                          [done = std::move(done)](instant then, const std::optional<wire::flow_message>& answer) {
                              store_result result;
-                             result.reason = "no answer from a peer asked for it";
+                             result.reason = "the relaying peer did not answer";
                              if (answer && answer->__isset.relayed) {
                                  result.outcome = static_cast<table_outcome>(answer->relayed.outcome);
                                  result.version = row_version(answer->relayed.version);
@@ -225,7 +225,7 @@
     const auto helper = table_away_ ? relay_peer() : std::nullopt;
     if (!helper) {
         direct_.read(std::move(range), [this, done = std::move(done)](instant then, const store_page& page) {
-            note_table(then, page.reached, page.reason);
+            record_table_answer(then, page.reached, page.reason);
             done(then, page);
         });
         return;
@@ -240,7 +240,7 @@
     direct_.send_message(*helper, message,
                          [done = std::move(done)](instant then, const std::optional<wire::flow_message>& answer) {
                              store_page page;
-                             page.reason = "no answer from a peer asked for it";
+                             page.reason = "the relaying peer did not answer";
                              if (answer && answer->__isset.relayed) {
                                  page.reached = answer->relayed.reached;
                                  page.more = answer->relayed.more;
@@ -256,11 +256,11 @@
                               std::function<void(const wire::flow_message&)> reply)
 {
     if (table_away_) {
-        reply({}); // without a result: the sender knows nothing of its call, and tries again
+        reply({}); // an empty message: the sender treats the outcome as unknown and retries
         return;
     }
     direct_.commit(from_wire(asked), [this, reply = std::move(reply)](instant then, const store_result& result) {
-        note_table(then, reached(result), result.reason);
+        record_table_answer(then, reached(result), result.reason);
         reply(reply_with(result));
     });
 }
@@ -273,7 +273,7 @@
     }
     const store_range range{asked.table, asked.part, asked.from_key, asked.to_key};
     direct_.read(range, [this, reply = std::move(reply)](instant then, const store_page& page) {
-        note_table(then, page.reached, page.reason);
+        record_table_answer(then, page.reached, page.reason);
         reply(reply_with(page));
     });
 }
--- a/src/flow_settings.cpp
+++ b/src/flow_settings.cpp
@@ -36,7 +36,7 @@
     {"cpu_share", &flow_entry_settings::cpu_share},
 }};
 
-// The platform names the port: 0, which elsewhere takes a free one, would listen where nobody looks.
+// Port 0 would bind to an arbitrary free port, but the platform expects the entry at the configured port.
 bool is_fixed_address(std::string_view text)
 {
     return is_net_address(text) && text.find_first_not_of('0', text.rfind(':') + 1) != std::string_view::npos;
@@ -58,7 +58,7 @@
     return at->get<std::string>();
 }
 
-// Leaves `amount` as it is when the field is absent.
+// Leaves `amount` unchanged if the field is absent.
 void read_amount(const json& j, const char* name, double& amount, std::vector<settings_problem>& problems)
 {
     const auto at = j.find(name);
--- a/src/flow_settings_p.h
+++ b/src/flow_settings_p.h
@@ -1,4 +1,4 @@
-// The settings file of an entry on a platform whose table, workers and operator are met through platform/.
+// The settings file of an entry that reaches its table, workers and operator through the interfaces in platform/.
 #pragma once
 
 #include <optional>
@@ -19,13 +19,14 @@
     net_address peers_address;
     net_address metrics_address;
     net_address table_address;
-    net_address advice_address;    // may be empty: no service advises
-    net_address instances_address; // may be empty: instances are not ours to move
-    double cores = 1;              // of the machine
-    double cpu_share = 1;          // of each that the entry may use
+    net_address advice_address;    // may be empty: no advice service is used
+    net_address instances_address; // may be empty: the entry moves no instances
+    double cores = 1;              // number of processor cores of the machine
+    double cpu_share = 1;          // share of each core that the entry may use
 };
 
-// Empty when anything is wrong, with one problem for each wrong field. Unknown fields are refused.
+// Returns nothing if the settings are invalid, and adds one problem for each invalid field. Unknown fields are
+// rejected.
 std::optional<flow_entry_settings> parse_flow_settings(std::string_view json, std::vector<settings_problem>& problems);
 
 } // namespace skylarkhub
--- a/src/flow_unusable_p.h
+++ b/src/flow_unusable_p.h
@@ -1,4 +1,4 @@
-// Entries of the list of workers that name no worker to use: which of them are news.
+// Detects new entries of the worker list that can't be used, so that each is reported once.
 #pragma once
 
 #include <map>
@@ -10,13 +10,14 @@
 
 class unusable_entries {
 public:
-    // The entries that were not known or have another reason by now. `entries`: all that one reading of the list found.
+    // Returns the entries that are new or have another reason than before. `entries`: all unusable entries found in one
+    // read of the list.
     std::vector<flow_unusable_entry> take(instant now, const std::vector<flow_unusable_entry>& entries);
 
 private:
     struct known_entry {
         std::string reason;
-        instant seen{}; // in a reading of the list, last
+        instant seen{}; // when the entry was last in the worker list
     };
     std::map<worker_id, known_entry> known_;
 };
--- a/src/flow_urgency.cpp
+++ b/src/flow_urgency.cpp
@@ -11,8 +11,9 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
 }
 
-// The longest chain of estimates; `left`: without steps that are done.
-duration chain_of(const flow_job& job, bool left)
+// Returns the largest sum of step estimates along a chain of dependent steps. `unfinished_only`: completed steps count
+// as zero.
+duration longest_chain(const flow_job& job, bool unfinished_only)
 {
     const std::vector<flow_step>& steps = job.spec().steps;
     std::vector<duration> ends(steps.size(), duration(0));
@@ -23,7 +24,7 @@
         }
         const flow_stage& stage = job.stages()[s];
         const bool done = stage.done == static_cast<std::int32_t>(stage.tasks.size());
-        ends[s] += left && done ? duration(0) : steps[s].estimate;
+        ends[s] += unfinished_only && done ? duration(0) : steps[s].estimate;
         longest = std::max(longest, ends[s]);
     }
     return longest;
@@ -33,7 +34,7 @@
 
 duration remaining_critical_path(const flow_job& job)
 {
-    return chain_of(job, true);
+    return longest_chain(job, true);
 }
 
 flow_urgency compute_urgency(const flow_job& job, const flow_queue* queue, wall_time wall)
@@ -46,7 +47,7 @@
     if (!fills || queue == nullptr || job.timed()) {
         return urgency;
     }
-    const auto allowed = static_cast<double>(ms_of(chain_of(job, false))) * queue->slack_factor;
+    const auto allowed = static_cast<double>(ms_of(longest_chain(job, false))) * queue->slack_factor;
     urgency.due_ms += static_cast<std::int64_t>(allowed) + ms_of(queue->latency_target);
     const std::int64_t now_ms = std::chrono::duration_cast<std::chrono::milliseconds>(wall.time_since_epoch()).count();
     urgency.late = now_ms + ms_of(remaining_critical_path(job)) > urgency.due_ms;
