--- a/src/flow_demand.cpp
+++ b/src/flow_demand.cpp
@@ -16,7 +16,7 @@
     return std::chrono::duration<double>(d).count();
 }
 
-double kept_after(duration d)
+double decay_over(duration d)
 {
     return std::exp(-seconds(d) / seconds(demand_window));
 }
@@ -25,15 +25,15 @@
 
 void batch_demand::note(instant now, duration age, double cpu_seconds)
 {
-    level_ *= kept_after(now - noted_);
-    level_ += cpu_seconds / seconds(demand_window) * kept_after(std::max(age, duration(0)));
+    level_ *= decay_over(now - noted_);
+    level_ += cpu_seconds / seconds(demand_window) * decay_over(std::max(age, duration(0)));
     noted_ = now;
 }
 
 std::int64_t batch_demand::cpu_millis(instant now, instant begun, std::int64_t room) const
 {
-    const double unseen = default_demand_share * static_cast<double>(room) * kept_after(now - begun);
-    return static_cast<std::int64_t>(level_ * kept_after(now - noted_) + unseen);
+    const double assumed = default_demand_share * static_cast<double>(room) * decay_over(now - begun);
+    return static_cast<std::int64_t>(level_ * decay_over(now - noted_) + assumed);
 }
 
 double batch_cpu_seconds(const flow_job& job)
--- a/src/flow_interference.cpp
+++ b/src/flow_interference.cpp
@@ -8,27 +8,32 @@
 
 namespace {
 
-constexpr int width = interference_model::filling_most;
-constexpr double start_press = 1.5;     // busy per load and share, of a pair not looked at
-constexpr double ridge = 0.02;          // (load * share)^2: the weight of the starting point
-constexpr double memory = 0.985;        // kept at each refit of what was learned
-constexpr int samples_to_tell = 30;     // looks before others are told
-constexpr double idle_start = 1 / 4.5;  // of the target: the tail of an idle serving task, before one was seen
-constexpr double idle_of_least = 0.8;   // of the least tail seen: no look finds a task quite idle
-constexpr double idle_least = 1 / 12.0; // of the target; tails come in whole milliseconds, so a low one says little
-constexpr double idle_most = 1 / 2.0;   // of the target; else nothing could run beside it
-constexpr double busy_most = 0.95;      // of its capacity; beyond it the tail tells of a backlog, not of the load
-constexpr double tail_wanted = 0.95;    // of the target: looks are rounded and late
-constexpr double bearable_most = 2.5;   // pressure, even on an idle one: its load comes back within seconds
+constexpr int matrix_width = interference_model::filling_most;
+constexpr double coefficient_default = 1.5;   // of a pair without samples
+constexpr double ridge = 0.02;                // (load * share)^2: weight of the prior coefficients
+constexpr double memory = 0.985;              // factor of the samples' weight at each refit
+constexpr int samples_to_publish = 30;        // of a serving image before other cells get its coefficients
+constexpr double idle_tail_default = 1 / 4.5; // share of the target, before the first sample
+// An idle tail latency is estimated below the lowest sample, since no sampled task is fully idle.
+constexpr double idle_share_of_least = 0.8;
+// Share of the target. Lower estimates are unreliable, since tail latencies are reported in whole milliseconds.
+constexpr double idle_tail_least = 1 / 12.0;
+constexpr double idle_tail_most = 1 / 2.0; // share of the target; more would exclude all filling work
+// Share of the capacity. Above it the tail latency reflects a backlog, not the load.
+constexpr double utilization_most = 0.95;
+constexpr double tail_wanted = 0.95; // share of the target: a margin, since samples are rounded and late
+// Limit also beside an idle serving task, since its load returns within seconds.
+constexpr double tolerable_pressure_most = 2.5;
 constexpr double load_least = 0.05;
 constexpr double load_most = 0.9;
-// Where a fit's moments keep the product of two columns.
-std::size_t cell_of(int row, int column)
+
+// Index of an element of the matrix fit::moments.
+std::size_t matrix_index(int row, int column)
 {
-    return static_cast<std::size_t>(row) * static_cast<std::size_t>(width) + static_cast<std::size_t>(column);
+    return static_cast<std::size_t>(row) * static_cast<std::size_t>(matrix_width) + static_cast<std::size_t>(column);
 }
 
-// Solves a x = b for a symmetric positive definite a of n rows (Cholesky); a and b are used up.
+// Solves a x = b by Cholesky decomposition; `a` is symmetric positive definite with n rows.
 std::vector<double> solve(std::vector<double> a, std::vector<double> b, int n)
 {
     const auto at = [n](int row, int column) {
@@ -67,16 +72,17 @@
 {
     fit f;
     f.name = name;
-    f.moments.assign(cell_of(width, 0), 0);
-    f.products.assign(width, 0);
-    f.start.assign(filling_most, start_press);
+    f.moments.assign(matrix_index(matrix_width, 0), 0);
+    f.products.assign(matrix_width, 0);
+    f.start.assign(filling_most, coefficient_default);
     f.interference_coefficient = f.start;
     return f;
 }
 
 double interference_model::idle_tail(const fit& f) const
 {
-    return f.least_tail == 0 ? idle_start : std::clamp(idle_of_least * f.least_tail, idle_least, idle_most);
+    return f.least_tail == 0 ? idle_tail_default
+                             : std::clamp(idle_share_of_least * f.least_tail, idle_tail_least, idle_tail_most);
 }
 
 void interference_model::note_tail(int serving, double tail)
@@ -87,7 +93,7 @@
 
 double interference_model::utilization(int serving, double tail) const
 {
-    return std::clamp(1 - idle_tail(serving_[static_cast<std::size_t>(serving)]) / tail, 0.0, busy_most);
+    return std::clamp(1 - idle_tail(serving_[static_cast<std::size_t>(serving)]) / tail, 0.0, utilization_most);
 }
 
 double interference_model::pressure(int serving, const std::vector<double>& shares) const
@@ -105,20 +111,21 @@
     return std::clamp(utilization / (1 + pressure(serving, shares)), load_least, load_most);
 }
 
-// What the model takes off for filling work may be wrong by as much again; a backlog tells nothing of the load.
+// The correction for filling work may be wrong by its own size, so the weight falls with the pressure. A task with a
+// backlog gives no information on the load.
 double interference_model::load_weight(int serving, double utilization, const std::vector<double>& shares) const
 {
-    if (utilization >= busy_most) {
+    if (utilization >= utilization_most) {
         return 0;
     }
-    const double off = 1 + 4 * pressure(serving, shares);
-    return 1 / (off * off);
+    const double error_factor = 1 + 4 * pressure(serving, shares);
+    return 1 / (error_factor * error_factor);
 }
 
 double interference_model::tolerable_pressure(int serving, double load) const
 {
-    const double busy_wanted = 1 - idle_tail(serving_[static_cast<std::size_t>(serving)]) / tail_wanted;
-    return std::clamp(busy_wanted / std::clamp(load, load_least, load_most) - 1, 0.0, bearable_most);
+    const double utilization_wanted = 1 - idle_tail(serving_[static_cast<std::size_t>(serving)]) / tail_wanted;
+    return std::clamp(utilization_wanted / std::clamp(load, load_least, load_most) - 1, 0.0, tolerable_pressure_most);
 }
 
 int interference_model::serving_index(const std::string& image)
@@ -154,7 +161,7 @@
             continue;
         }
         for (std::size_t j = 0; j < n; ++j) {
-            f.moments[cell_of(static_cast<int>(i), static_cast<int>(j))] += xi * load * shares[j];
+            f.moments[matrix_index(static_cast<int>(i), static_cast<int>(j))] += xi * load * shares[j];
         }
         f.products[i] += xi * (utilization - load);
     }
@@ -174,7 +181,7 @@
         for (int i = 0; i < n; ++i) {
             const auto row = static_cast<std::size_t>(i);
             for (int j = 0; j < n; ++j) {
-                a[row * size + static_cast<std::size_t>(j)] = f.moments[cell_of(i, j)];
+                a[row * size + static_cast<std::size_t>(j)] = f.moments[matrix_index(i, j)];
             }
             a[row * size + row] += ridge;
             b[row] = f.products[row] + ridge * f.start[row];
@@ -201,9 +208,9 @@
 {
     std::map<std::string, double> out;
     for (const fit& f : serving_) {
-        for (int i = 0; f.samples >= samples_to_tell && i < filling_count(); ++i) {
+        for (int i = 0; f.samples >= samples_to_publish && i < filling_count(); ++i) {
             const auto at = static_cast<std::size_t>(i);
-            if (f.moments[cell_of(i, i)] > 4 * ridge) {
+            if (f.moments[matrix_index(i, i)] > 4 * ridge) {
                 out[f.name + "|" + filling_names_[at]] = f.interference_coefficient[at];
             }
         }
@@ -230,7 +237,7 @@
 std::vector<int> choose_paces(const interference_model& model, const std::vector<serving_tolerance>& serving,
                               const std::vector<double>& shares)
 {
-    const auto worst_press = [&](int filling) {
+    const auto worst_interference = [&](int filling) {
         double worst = 0;
         for (const serving_tolerance& s : serving) {
             worst = std::max(worst,
@@ -238,38 +245,38 @@
         }
         return worst;
     };
-    std::vector<int> order(shares.size());
-    std::iota(order.begin(), order.end(), 0);
-    std::vector<double> presses(shares.size());
+    std::vector<int> by_interference(shares.size());
+    std::iota(by_interference.begin(), by_interference.end(), 0);
+    std::vector<double> interference(shares.size());
     for (std::size_t i = 0; i < shares.size(); ++i) {
-        presses[i] = worst_press(static_cast<int>(i));
+        interference[i] = worst_interference(static_cast<int>(i));
     }
-    std::sort(order.begin(), order.end(), [&](int a, int b) {
-        return presses[static_cast<std::size_t>(a)] < presses[static_cast<std::size_t>(b)];
+    std::sort(by_interference.begin(), by_interference.end(), [&](int a, int b) {
+        return interference[static_cast<std::size_t>(a)] < interference[static_cast<std::size_t>(b)];
     });
     std::vector<int> paces(shares.size(), 100);
-    std::vector<double> left;
-    left.reserve(serving.size());
+    std::vector<double> tolerance_left;
+    tolerance_left.reserve(serving.size());
     for (const serving_tolerance& s : serving) {
-        left.push_back(s.tolerated_pressure);
+        tolerance_left.push_back(s.tolerated_pressure);
     }
-    constexpr int pace_grain = 10; // percent; finer steps are not worth an order
-    for (const int filling : order) {
+    constexpr int pace_step = 10; // percent; finer steps do not justify an order to the worker
+    for (const int filling : by_interference) {
         const double share = shares[static_cast<std::size_t>(filling)];
         if (share <= 0) {
             continue;
         }
-        double part = 1;
+        double pace_share = 1;
         for (std::size_t s = 0; s < serving.size(); ++s) {
             const double pressure = model.interference_coefficient(serving[s].serving, filling) * share;
             if (pressure > 0) {
-                part = std::min(part, std::max(0.0, left[s]) / pressure);
+                pace_share = std::min(pace_share, std::max(0.0, tolerance_left[s]) / pressure);
             }
         }
-        const int pace = static_cast<int>(part * 100) / pace_grain * pace_grain;
+        const int pace = static_cast<int>(pace_share * 100) / pace_step * pace_step;
         paces[static_cast<std::size_t>(filling)] = pace;
         for (std::size_t s = 0; s < serving.size(); ++s) {
-            left[s] -= model.interference_coefficient(serving[s].serving, filling) * share * pace / 100.0;
+            tolerance_left[s] -= model.interference_coefficient(serving[s].serving, filling) * share * pace / 100.0;
         }
     }
     return paces;
--- a/src/flow_job.cpp
+++ b/src/flow_job.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Runs of an owner that took the cell over start this much higher than those of the owner before, which nobody has
-// listed in full. No task comes near a thousand runs within one ownership.
+// Distance between the run numbers of successive owners of a cell: a new owner cannot know all runs of its predecessor.
+// No task reaches 1000 runs under one owner.
 constexpr std::int64_t runs_per_epoch = 1000;
 
 bool bit_at(const std::string& bits, std::int32_t index)
@@ -49,7 +49,7 @@
     : id_(std::move(id)), here_(std::move(here)), row_(row), spec_(spec_of(row)), version_(version)
 {
     row_.stages.clear();
-    row_.begun = tells_begun(row);
+    row_.begun = implies_begun(row);
     const std::int32_t occurrences = std::max(1, spec_.occurrences);
     for (std::int32_t k = 0; k < occurrences; ++k) {
         for (std::size_t s = 0; s < spec_.steps.size(); ++s) {
@@ -74,7 +74,7 @@
 std::set<std::string> flow_job::concerned_cells() const
 {
     std::set<std::string> cells{row_.cell};
-    std::copy_if(tellers_.begin(), tellers_.end(), std::inserter(cells, cells.end()), is_cell);
+    std::copy_if(writers_.begin(), writers_.end(), std::inserter(cells, cells.end()), is_cell);
     for (const flow_stage& stage : stages_) {
         for (const flow_task& task : stage.tasks) {
             if (!task.home.cell.empty()) {
@@ -94,10 +94,10 @@
 std::vector<cell_id> flow_job::cells_to_notify() const
 {
     std::set<std::string> cells;
-    if (all_told_of_ > written_) {
+    if (notify_all_change_ > written_) {
         cells = concerned_cells();
     }
-    for (const auto& [cell, change] : given_to_) {
+    for (const auto& [cell, change] : handoff_changes_) {
         if (change > written_) {
             cells.insert(cell);
         }
@@ -126,12 +126,12 @@
     ++t.home.moves;
     ++changes_;
     if (step(*find_stage(task)).gang) {
-        all_told_of_ = changes_;
+        notify_all_change_ = changes_;
     }
     if (at_home(t)) {
         return;
     }
-    given_to_[to.str()] = changes_;
+    handoff_changes_[to.str()] = changes_;
     if (t.stage == flow_task_state::ready) {
         --find_stage(task)->ready;
     }
@@ -164,7 +164,7 @@
     }
 }
 
-// That a run has ended is final.
+// Takes the newer start; the end of a recorded run is final.
 void flow_job::load_start(flow_task& task, const wire::flow_start_row& start)
 {
     if (start.run > task.start.run || (start.run == task.start.run && start.worker.empty())) {
@@ -283,25 +283,26 @@
     return run_number(std::max(task.last_run.value(), base) + 1);
 }
 
-// The owner of the job's cell knows by itself, or hears it from the worker again; that of another cell has to tell it.
+// The owner of the job's cell needs no write for this, since the worker reports its runs again to the next owner. The
+// owner of another cell has to write it for the job's cell.
 void flow_job::note_job_started()
 {
     if (!row_.begun) {
         row_.begun = true;
         changes_ += is_home_cell() ? 0 : 1;
     }
-    tell_started();
+    mark_started();
 }
 
-// Failure: a start is noted, and never comes to a worker. Symptom: the next owner, or the owner of the job's cell where
-// another one noted it, takes the job for begun and leaves it out of those that wait. So only of a job none of whose
-// starts is noted the one says the other.
-bool flow_job::tells_begun(const wire::flow_job_row& row) const
+// A row that shows the job as started implies that a worker accepted a task only if no step records its starts before
+// they are sent. Otherwise a recorded start may never have reached a worker, and an owner that reads the row would
+// leave the job out of those that wait.
+bool flow_job::implies_begun(const wire::flow_job_row& row) const
 {
     return row.begun || (row.started && std::none_of(spec_.steps.begin(), spec_.steps.end(), persists_starts));
 }
 
-void flow_job::tell_started()
+void flow_job::mark_started()
 {
     if (!row_.started) {
         row_.started = true;
@@ -332,7 +333,7 @@
     if (t == nullptr) {
         return 0;
     }
-    // An end that is durable but not confirmed yet is listed again to the next owner.
+    // A worker reports an end again to the next owner if it was stored but not confirmed.
     if (t->failed_runs.insert(run).second) {
         ++changes_;
     }
@@ -363,18 +364,18 @@
 {
     flow_task* const t = find_task(task);
     if (t != nullptr && !t->crashes.empty() && t->crashes.begin()->first <= run) {
-        outlive(*t, run);
+        discard_crashes(*t, run);
         ++changes_;
     }
 }
 
-void flow_job::outlive(flow_task& task, run_number run)
+void flow_job::discard_crashes(flow_task& task, run_number run)
 {
     task.outlived = std::max(task.outlived, run);
     task.crashes.erase(task.crashes.begin(), task.crashes.upper_bound(task.outlived));
 }
 
-// Joined in whatever order they come: what is outlived stays so.
+// Rows may arrive in any order: crashes up to the newest outlived run stay discarded.
 void flow_job::load_crashes(flow_task& task, std::int32_t index, const wire::flow_stage_row& row)
 {
     const auto crashes = row.crashes.find(index);
@@ -384,7 +385,7 @@
         }
     }
     const auto outlived = row.outlived.find(index);
-    outlive(task, run_number(outlived == row.outlived.end() ? 0 : outlived->second));
+    discard_crashes(task, run_number(outlived == row.outlived.end() ? 0 : outlived->second));
 }
 
 void flow_job::note_end(const reported_end& end)
@@ -418,7 +419,7 @@
         start.worker = worker.str();
         start.run = run.value();
         ++changes_;
-        tell_started();
+        mark_started();
     }
 }
 
@@ -442,7 +443,7 @@
         return;
     }
     row_.outcome = outcome == flow_state::done ? 1 : outcome == flow_state::failed ? 2 : 3;
-    all_told_of_ = index_changed_ = ++changes_;
+    notify_all_change_ = index_changed_ = ++changes_;
 }
 
 std::int32_t flow_job::count_ready() const
@@ -466,43 +467,44 @@
 
 void flow_job::merge(instant now, const wire::flow_job_row& other, row_writer_kind writer_kind)
 {
-    // What came from a row need not be written again; our own facts, if any, still must, and what follows from it here.
-    const bool was_behind = dirty();
-    std::uint64_t follows = 0;
-    const bool news = is_home_cell() && writer_kind != row_writer_kind::own;
+    // Progress that came from a row need not be written again, unless there were unwritten changes before, or the merge
+    // itself causes changes for other cells.
+    const bool was_dirty = dirty();
+    std::uint64_t caused = 0;
+    const bool from_other = is_home_cell() && writer_kind != row_writer_kind::own;
     if (other.cancelled && !row_.cancelled) {
         row_.cancelled = true;
-        if (news) {
-            all_told_of_ = index_changed_ = follows = ++changes_;
+        if (from_other) {
+            notify_all_change_ = index_changed_ = caused = ++changes_;
         }
     }
-    row_.begun = row_.begun || tells_begun(other);
+    row_.begun = row_.begun || implies_begun(other);
     if (other.started && !row_.started) {
         row_.started = true;
-        if (news) {
-            index_changed_ = follows = ++changes_;
+        if (from_other) {
+            index_changed_ = caused = ++changes_;
         }
     }
-    // A writer that does not know of notes has left out those that were there.
+    // A writer of an earlier release drops recorded starts, so their absence means nothing once it has written.
     row_.starts_noted = row_.starts_noted && other.starts_noted;
     if (row_.outcome == 0) {
         row_.outcome = other.outcome;
     }
     const std::uint64_t received = received_;
     const std::uint64_t before = changes_;
-    const bool over = news && (row_.cancelled || row_.outcome != 0);
-    const std::set<std::string> concerned = over ? concerned_cells() : std::set<std::string>();
+    const bool job_over = from_other && (row_.cancelled || row_.outcome != 0);
+    const std::set<std::string> concerned = job_over ? concerned_cells() : std::set<std::string>();
     for (const wire::flow_stage_row& stage : other.stages) {
         load_stage(now, stage, writer_kind == row_writer_kind::own);
     }
-    // A task was given to that cell by one that had not heard of the end.
-    const std::set<std::string> now_concerned = over ? concerned_cells() : std::set<std::string>();
-    if (!std::includes(concerned.begin(), concerned.end(), now_concerned.begin(), now_concerned.end())) {
-        all_told_of_ = follows = ++changes_;
+    // A cell that did not know of the end yet has handed a task to a cell that now has to be notified.
+    const std::set<std::string> concerned_now = job_over ? concerned_cells() : std::set<std::string>();
+    if (!std::includes(concerned.begin(), concerned.end(), concerned_now.begin(), concerned_now.end())) {
+        notify_all_change_ = caused = ++changes_;
     }
-    // The owner of another cell has told the job's, an entry that was followed has not.
+    // The owner of another cell has notified the job's cell itself; an entry that lost its cell has not.
     const bool pass_on = writer_kind == row_writer_kind::entry && changes_ != before;
-    if (!was_behind && follows == 0 && received == received_ && !pass_on) {
+    if (!was_dirty && caused == 0 && received == received_ && !pass_on) {
         written_ = changes_;
     }
 }
--- a/src/flow_job_p.h
+++ b/src/flow_job_p.h
@@ -1,4 +1,5 @@
-// One flow in its cell owner's memory: which steps are open, what each task is doing, and what its row must tell.
+// In-memory state of one job in the process that owns a cell: which steps are open, the state of each task, and the row
+// to be written to the table.
 #pragma once
 
 #include <map>
@@ -11,42 +12,42 @@
 
 namespace skylarkhub {
 
-// closed: an earlier step is not done yet, or its time has not come. elsewhere: another cell takes care of it.
+// blocked: an earlier step is not done, or the occurrence is not due yet. in_other_cell: another cell is responsible.
 enum class flow_task_state : std::uint8_t { blocked, ready, placed, in_other_cell, done };
 
-// A run that may be going on: from the moment its start is sent until its end is known.
+// A run that may be active: exists from before its start is sent to the worker until its end is known.
 struct live_run {
     worker_id worker;
     run_number run;
     instant sent{};
-    bool confirmed = false; // the worker has said that it has it
-    bool stopping = false;
-    worker_time lease_until{}; // that its start carries
-    std::uint64_t noted = 0;   // changes of the job that tell its start, which waits for them to be written; 0: sent
-    instant started{};         // when its start was first sent; instant{}: by an owner before, or not yet
-    bool alone = false;        // a worker was kept for it, since its task may crash workers
+    bool confirmed = false;    // the worker has reported the run
+    bool stopping = false;     // a stop was sent
+    worker_time lease_until{}; // lease in its start order
+    std::uint64_t noted = 0;   // the start is sent once this change of the job is written; 0: sent
+    instant started{};         // time of the first send of its start; instant{}: not sent yet, or by a former owner
+    bool alone = false;        // it has a worker of its own, since its task may crash workers
 };
 
 struct flow_task {
     flow_task_state stage = flow_task_state::blocked;
-    run_number last_run; // highest used
-    // By number, not by count: ends are heard more than once, by several owners, and in any order. At most as many as
-    // the task has attempts.
+    run_number last_run; // highest number used so far
+    // Run numbers instead of a count, since one end may be reported several times, to several owners and out of order.
+    // Bounded by the number of attempts of the task.
     std::set<run_number> failed_runs;
-    std::map<run_number, wire::crash_row> crashes; // of workers under it, by run
-    run_number outlived;                           // crashes up to this run no longer count
+    std::map<run_number, wire::crash_row> crashes; // crashes of workers while they ran the task, by run
+    run_number outlived; // crashes of runs up to this one no longer count, since a later run proved harmless
     std::vector<wire::crash_row> crash_rows() const;
-    bool may_crash_workers() const; // it is started alone
-    bool crashes_workers() const;   // beyond doubt
+    bool may_crash_workers() const; // so it is started on a worker without other tasks
+    bool crashes_workers() const;   // certain, so its job is given up
     std::string checkpoint;
-    instant ready_since{};
-    std::vector<live_run> runs; // more than one only for speculative steps
-    worker_id avoided_worker;   // the last worker it failed or fell behind on, avoided where there is another
-    std::int32_t restarts = 0;  // by this owner, since it had fallen behind
-    wire::flow_home_row home;   // the cell that takes care of it; no cell: the job's
-    std::optional<std::pair<cell_id, epoch>> moves_to; // the cell that it is given to once its run has ended
-    wire::flow_start_row start;                        // the newest that was noted; run 0: none
-    std::uint64_t received = 0; // the change of the job that tells that it came from another cell
+    instant ready_since{};      // since when it waits for a worker
+    std::vector<live_run> runs; // more than one only in speculative steps
+    worker_id avoided_worker;   // last worker on which it failed or fell behind; used only if there is no other
+    std::int32_t restarts = 0;  // restarts by this owner after the task fell behind
+    wire::flow_home_row home;   // the cell that is responsible for it; no cell: the cell of the job
+    std::optional<std::pair<cell_id, epoch>> moves_to; // cell that it is handed to when its run has ended
+    wire::flow_start_row start;                        // newest start recorded in the row; run 0: none
+    std::uint64_t received = 0;                        // change of the job that records its arrival from another cell
 };
 
 // The tasks of one step in one occurrence.
@@ -54,25 +55,25 @@
     std::int32_t occurrence = 0;
     std::int32_t step = 0;
     std::vector<flow_task> tasks;
-    std::int32_t done = 0;
+    std::int32_t done = 0;  // tasks that are done
     std::int32_t ready = 0; // tasks that wait for a worker
-    bool open = false;
+    bool open = false;      // its tasks may start
 };
 
-// The job's row tells of a start of such a step before it is sent, so that an owner's follower knows where each task
-// may run. Short work does without: it would wait for the table with every task.
+// Whether each start of a task is written to the job's row before it is sent, so that the next owner of the cell knows
+// where each task may run. Short tasks skip this, since each of them would have to wait for the table.
 bool persists_starts(const flow_step& step);
 
-// Members of a gang are in another cell: it runs over several.
+// Whether tasks of the stage belong to another cell, as with a gang that runs across several cells.
 bool spans_cells(const flow_stage& stage);
 
-// Whether a crash is written for its own sake, or goes out with the row's next write.
+// Whether recording a crash causes a write of the row, or is included in the next write for another reason.
 enum class crash_persistence : std::uint8_t { written, deferred };
 
 class flow_job {
 public:
-    // A flow as a row tells it that says what was asked. `here`: the cell whose owner asks; `version`: of that cell's
-    // own row, 0 if the row is another one.
+    // Builds the job from a row that contains the specification. `here`: the cell of this owner; `version`: of the row
+    // if it is the one that `here` writes, 0 if another writer wrote it.
     flow_job(job_id id, cell_id here, const wire::flow_job_row& row, row_version version);
 
     const job_id& id() const { return id_; }
@@ -95,115 +96,124 @@
 
     bool cancelled() const { return row_.cancelled; }
     bool ended() const { return row_.outcome != 0; }
-    // A worker has taken a task, as far as it is known here. Callers may be told sooner that the job has started: of a
-    // start that is noted before it is sent, with its note.
+    // A worker is known to have accepted a task. Callers may see the job as started earlier: for steps whose starts are
+    // recorded before they are sent, as soon as the record is written.
     bool begun() const { return row_.begun; }
+    // The job has scheduled occurrences.
     bool timed() const { return spec_.occurrences > 0; }
-    // The job is bound to `here`: its owner says what has become of it.
+    // `here` is the cell that the job is assigned to and that decides its outcome.
     bool is_home_cell() const { return row_.cell == here_.str(); }
-    // The version of the row of `here`, 0 while there is none.
+    // Version of the row that `here` writes, 0 while there is none.
     row_version version() const { return version_; }
     void note_version(row_version version) { version_ = std::max(version_, version); }
-    // Of the row that tells of its acceptance, 0 where that was not read.
+    // Version of the row that recorded the acceptance of the job, 0 if it was not read.
     row_version accepted_at() const { return accepted_at_; }
     void note_accepted(row_version version) { accepted_at_ = std::max(accepted_at_, version); }
 
-    // It is given to `here` and the row of `here` tells so: before, an earlier owner may be told of it as well.
+    // The row of `here` records the arrival of the task from another cell. Until then, a former owner of `here` may
+    // take the task as well.
     bool is_transfer_persisted(const flow_task& task) const { return task.received <= written_; }
+    // `here` is responsible for the task.
     bool at_home(const flow_task& task) const;
-    // Some task is taken care of by `here`.
+    // `here` is responsible for the job or for at least one of its tasks.
     bool involves_this_cell() const;
-    // Another cell's owner, or somebody else, has told something of it.
-    void note_writer(const std::string& writer) { tellers_.insert(writer); }
-    // All that have, cells' owners and others.
-    const std::set<std::string>& known_writers() const { return tellers_; }
-    // It is in that cell already, or may go to one more.
+    // Records that `writer`, a cell or a reserved name, has written a row about the job.
+    void note_writer(const std::string& writer) { writers_.insert(writer); }
+    const std::set<std::string>& known_writers() const { return writers_; }
+    // `cell` is involved already, or the job involves fewer than `cells_most` cells.
     bool may_extend_to(const cell_id& cell, std::size_t cells_most) const;
-    // The other cells that the next write has news for: the job's, those that tasks were given to, and all concerned
-    // when members of a gang move or the job has ended.
+    // Other cells for which the next write has news: the cell of the job, the cells that tasks were handed to, and all
+    // involved cells if gang members moved or the job was cancelled or has ended.
     std::vector<cell_id> cells_to_notify() const;
-    // Callers will see a difference once the next write is in force.
+    // The state shown to callers changes with the next write.
     bool index_changed() const { return index_changed_ > written_; }
-    // Gives a task that no run of which lives to another cell; in force once it is written.
+    // Hands a task without active runs to another cell; takes effect when the row is written.
     void hand_off_task(const flow_task_id& task, const cell_id& to, epoch to_epoch, epoch own_epoch);
-    // The same with its runs numbered above `floor`; `to` may be the cell that has it.
+    // As hand_off_task, with later runs numbered above `floor`; `to` may be the cell that is responsible already.
     void move(const flow_task_id& task, const cell_id& to, epoch to_epoch, std::int64_t floor);
 
-    // Opens every stage whose earlier steps are done and whose time has come; true when one was opened.
+    // Opens every stage whose preceding steps are done and whose occurrence is due; true if any was opened.
     bool open_stages(instant now, wall_time wall);
 
-    // The number of a new run: above every earlier one of this task, also those of earlier owners of the cell.
+    // Number for a new run: higher than all runs of the task, those started by former owners of the cell included.
     run_number next_run(const flow_task& task, epoch cell_epoch) const;
 
-    // --- facts; each makes the row behind ---
+    // --- progress; each change makes the row outdated (see dirty()) unless noted otherwise ---
+    // A worker has accepted a task.
     void note_job_started();
-    // False when it was done already.
+    // False if the task was done already or does not exist.
     bool note_done(const flow_task_id& task);
-    // The number of failed runs so far. A run counts once, however often its end is listed.
+    // Returns the number of failed runs of the task. A run counts once, even if its end is reported several times.
     std::int32_t note_failure(const flow_task_id& task, run_number run);
-    // A worker crashed under the run. False when the task has outlived it.
+    // A worker crashed while it executed the run. False if a later run has proved the task harmless.
     bool note_crash(const flow_task_id& task, const wire::crash_row& crash, crash_persistence note);
-    // None did after all.
+    // Removes the crash recorded for the run, since the worker had not crashed; does not cause a write.
     void forget_crash(const flow_task_id& task, run_number run);
-    // The run has shown that it crashes no worker.
+    // The run has lived long enough to prove the task harmless: discards crashes up to this run.
     void note_outlived(const flow_task_id& task, run_number run);
-    // What the end of a run of a step that does not last tells of its tasks.
+    // Applies the end of a run of a step that is not lasting to the state of its tasks.
     void note_end(const reported_end& end);
+    // Stores the newest checkpoint of the task; does not cause a write.
     void note_checkpoint(const flow_task_id& task, const std::string& checkpoint);
-    // The run is about to be started, or was found. Nothing when a higher one was noted.
+    // Records the start of a run that is about to be sent or was found on a worker. No effect if a newer one is
+    // recorded.
     void note_start(const flow_task_id& task, const worker_id& worker, run_number run);
-    // The run, if it is the one noted, is certainly not going on any more.
+    // Records that the run is certainly not active any more. No effect if another run is recorded.
     void note_run_ended(const flow_task_id& task, run_number run);
-    // The newest epoch of `here` that anyone has named to bind the job or give a task to it.
+    // Newest epoch of `here` named by whoever assigned the job or handed a task to it. An epoch above the owner's own
+    // shows that the owner was replaced.
     epoch newest_epoch() const;
     void note_outcome(flow_state outcome);
 
-    // Takes over the facts of another row of the job, in whatever order they come; none is ever taken back.
+    // Merges the progress in another row of the job. Rows may arrive in any order, and progress is never reverted.
     void merge(instant now, const wire::flow_job_row& other, row_writer_kind writer_kind);
 
     bool all_done() const;
     // Tasks that wait for a worker.
     std::int32_t count_ready() const;
-    // Some run of it may be going on.
+    // At least one run may be active.
     bool running() const;
+    // There are changes that are not in the table yet.
     bool dirty() const { return changes_ > written_; }
+    // Counters of all changes, and of those that the row in the table contains.
     std::uint64_t changes() const { return changes_; }
     std::uint64_t written() const { return written_; }
     void mark_written(std::uint64_t changes, row_version version);
-    // The row of `here` as it should be now.
+    // The row to be written for `here`.
     wire::flow_job_row current_row() const;
-    // What callers ask.
+    // The state that is shown to callers.
     wire::flow_job_row index_row() const;
 
 private:
     std::vector<wire::flow_stage_row> stage_rows() const;
     std::set<std::string> concerned_cells() const;
-    void tell_started();
-    bool tells_begun(const wire::flow_job_row& row) const;
+    // Shows the job as started to callers.
+    void mark_started();
+    bool implies_begun(const wire::flow_job_row& row) const;
     void add_stage(std::int32_t occurrence, std::int32_t step);
     void load_stage(instant now, const wire::flow_stage_row& row, bool own);
     void load_home(instant now, flow_stage& stage, flow_task& task, const wire::flow_home_row& home, bool own);
     static void load_start(flow_task& task, const wire::flow_start_row& start);
     static void load_crashes(flow_task& task, std::int32_t index, const wire::flow_stage_row& row);
-    static void outlive(flow_task& task, run_number run);
+    static void discard_crashes(flow_task& task, run_number run);
     bool due(std::int32_t occurrence, wall_time wall) const;
 
     job_id id_;
     cell_id here_;
-    wire::flow_job_row row_; // without its stages' facts
+    wire::flow_job_row row_; // with its `stages` empty: these are kept in stages_
     flow_spec spec_;
     std::vector<flow_stage> stages_;
     row_version version_;
     row_version accepted_at_;
     std::uint64_t changes_ = 0;
     std::uint64_t written_ = 0;
-    std::set<std::string> tellers_;
-    std::int64_t newest_home_epoch_ = 0; // of `here`, that a task was given to
-    // The changes of which others are to be told.
-    std::map<std::string, std::uint64_t> given_to_; // by cell
-    std::uint64_t all_told_of_ = 0;                 // a cancel, the outcome, or a move of a gang's members
+    std::set<std::string> writers_;
+    std::int64_t newest_home_epoch_ = 0; // newest epoch of `here` that a task was handed to
+    // Values of changes_ at the last change of each kind; those above written_ still have to be announced.
+    std::map<std::string, std::uint64_t> handoff_changes_; // by cell that a task was handed to
+    std::uint64_t notify_all_change_ = 0;                  // a cancel, the outcome, or a move of gang members
     std::uint64_t index_changed_ = 0;
-    std::uint64_t received_ = 0; // the last that a task came from another cell with
+    std::uint64_t received_ = 0; // value of changes_ when a task last arrived from another cell
 };
 
 } // namespace skylarkhub
--- a/src/flow_load.cpp
+++ b/src/flow_load.cpp
@@ -10,18 +10,18 @@
 constexpr double pi = 3.14159265358979323846;
 constexpr double load_least = 0.05;
 constexpr double load_most = 0.9;
-constexpr double load_start = 0.5;      // of a job that was not looked at
-constexpr double period_least_s = 4;    // a shorter swing is over before an order is in force
-constexpr double period_ratio = 1.06;   // of neighbouring candidates; they stay in step over memory_s
-constexpr double memory_s = 15;         // of a swing's fit: one swing or two
-constexpr double line_memory_s = 0.5;   // of the line
-constexpr double line_ahead_most_s = 1; // it leads no further
-constexpr double line_ridge = 0.3;      // weight * s^2: towards a level line while there are few looks
-constexpr double swing_ridge = 0.5;     // weight: towards no swing while there are few looks
-constexpr double level_ridge = 0.2;     // weight: towards load_start
-constexpr double judge_memory = 0.999;  // of the errors so far, at each look
-constexpr double judge_least = 150;     // looks before a period is believed
-constexpr double explained_least = 0.5;
+constexpr double load_default = 0.5;    // of a job without samples
+constexpr double period_least_s = 4;    // a shorter period is over before a change of pace takes effect
+constexpr double period_ratio = 1.06;   // of neighbouring candidates: close enough to stay in phase over memory_s
+constexpr double memory_s = 15;         // decay time of a sinusoid's samples: one or two periods
+constexpr double line_memory_s = 0.5;   // decay time of the line's samples
+constexpr double line_ahead_most_s = 1; // the line is not extrapolated further than this
+constexpr double line_ridge = 0.3;      // weight * s^2: keeps the line level while there are few samples
+constexpr double amplitude_ridge = 0.5; // weight: keeps the amplitude small while there are few samples
+constexpr double level_ridge = 0.2;     // weight: keeps the level near load_default while there are few samples
+constexpr double score_memory = 0.999;  // factor of the former errors at each sample
+constexpr double scored_least = 150;    // samples for a reliable period
+constexpr double explained_least = 0.5; // share of the variance that a period has to explain
 
 } // namespace
 
@@ -43,7 +43,7 @@
     return {std::cos(angle), std::sin(angle)};
 }
 
-void load_forecast::swing::add(double kept, const phase& now, double load, double weight)
+void load_forecast::sinusoid::add(double kept, const phase& now, double load, double weight)
 {
     const std::array<double, 6> squares{1, now.cos, now.sin, now.cos * now.cos, now.cos * now.sin, now.sin * now.sin};
     for (std::size_t i = 0; i < squares.size(); ++i) {
@@ -53,14 +53,14 @@
     for (std::size_t i = 0; i < row.size(); ++i) {
         products[i] = kept * products[i] + weight * load * row[i];
     }
-    // Solved by hand (Cramer): three unknowns.
+    // Solves the three normal equations by Cramer's rule.
     const double a = moments[0] + level_ridge;
     const double b = moments[1];
     const double c = moments[2];
-    const double d = moments[3] + swing_ridge;
+    const double d = moments[3] + amplitude_ridge;
     const double e = moments[4];
-    const double f = moments[5] + swing_ridge;
-    const double x = products[0] + level_ridge * load_start;
+    const double f = moments[5] + amplitude_ridge;
+    const double x = products[0] + level_ridge * load_default;
     const double y = products[1];
     const double z = products[2];
     const double inverse = 1 / (a * (d * f - e * e) - b * (b * f - c * e) + c * (b * e - c * d));
@@ -79,10 +79,10 @@
     load = kept * load + new_weight * new_load;
 }
 
-double load_forecast::line::ahead(double seconds) const
+double load_forecast::line::predict(double seconds) const
 {
     if (weight < 1e-6) {
-        return load_start;
+        return load_default;
     }
     const double mean_age = age / weight;
     const double slope = (age_load - mean_age * load) / (age_squared - mean_age * age + line_ridge);
@@ -92,13 +92,13 @@
 void load_forecast::add(const job_id& job, double time, double load, double weight)
 {
     job_load& known = jobs_[job];
-    const bool first = known.looks == 0;
+    const bool first = known.samples == 0;
     const double elapsed = first ? 0 : std::max(0.0, time - known.time);
     const double kept = std::exp(-elapsed / memory_s);
     if (!first) {
-        judged_ = judge_memory * judged_ + weight;
-        mean_ = judge_memory * mean_ + weight * load;
-        square_ = judge_memory * square_ + weight * load * load;
+        scored_weight_ = score_memory * scored_weight_ + weight;
+        mean_ = score_memory * mean_ + weight * load;
+        square_ = score_memory * square_ + weight * load * load;
     }
     if (time != phases_at_) {
         phases_at_ = time;
@@ -108,43 +108,43 @@
     }
     for (std::size_t i = 0; i < candidates; ++i) {
         const phase& now = phases_[i];
-        swing& fit = known.swings[i];
+        sinusoid& fit = known.sinusoids[i];
         if (!first) {
-            // How well it foretold this look, before the look is taken in.
-            const double off = load - fit.at(now);
-            errors_[i] = judge_memory * errors_[i] + weight * off * off;
+            // Scores the prediction before the sample becomes part of the fit.
+            const double error = load - fit.at(now);
+            errors_[i] = score_memory * errors_[i] + weight * error * error;
         }
         fit.add(kept, now, load, weight);
     }
     best_ = static_cast<std::size_t>(std::min_element(errors_.begin(), errors_.end()) - errors_.begin());
     known.recent.add(elapsed, load, weight);
     known.time = std::max(known.time, time);
-    known.looks += weight;
+    known.samples += weight;
 }
 
 double load_forecast::period() const
 {
-    if (judged_ < judge_least * 0.5) {
+    if (scored_weight_ < scored_least * 0.5) {
         return 0;
     }
-    const double mean = mean_ / judged_;
-    const double variance = square_ / judged_ - mean * mean;
-    return errors_[best_] / judged_ < (1 - explained_least) * variance ? periods()[best_] : 0;
+    const double mean = mean_ / scored_weight_;
+    const double variance = square_ / scored_weight_ - mean * mean;
+    return errors_[best_] / scored_weight_ < (1 - explained_least) * variance ? periods()[best_] : 0;
 }
 
 double load_forecast::at(const job_id& job, double time) const
 {
     const auto known = jobs_.find(job);
     if (known == jobs_.end()) {
-        return load_start;
+        return load_default;
     }
-    const double swings_every = period();
+    const double fitted_period = period();
     double load = 0;
-    if (swings_every > 0) {
-        load = known->second.swings[best_].at(phase_at(time, swings_every));
+    if (fitted_period > 0) {
+        load = known->second.sinusoids[best_].at(phase_at(time, fitted_period));
     }
     else {
-        load = known->second.recent.ahead(time - known->second.time);
+        load = known->second.recent.predict(time - known->second.time);
     }
     return std::clamp(load, load_least, load_most);
 }
--- a/src/flow_load_p.h
+++ b/src/flow_load_p.h
@@ -1,4 +1,4 @@
-// How loaded the serving tasks of each job will be a moment from now.
+// Forecast of the load of serving tasks, by job, for the next second or so.
 #pragma once
 
 #include <array>
@@ -9,18 +9,18 @@
 
 namespace skylarkhub {
 
-// Loads swing within seconds, each job's at its own moments. Looks arrive late and what is decided from them holds for
-// a while, so a load that is only smoothed is behind, and filling work runs on where the next moment bears none. A
-// swing of fitted period, phase and height is followed instead. The period is common to the jobs of a cell and found
-// among candidates by how well each foretells the next look; where no swing explains at least half of what loads vary
-// by, a line through the recent past is used.
+// Loads are periodic within seconds, with a phase of their own for each job. Samples arrive late and decisions based on
+// them stay in force for a while, so a smoothed load lags, and filling work (background tasks on idle processors) would
+// run on while the load of serving tasks rises. Instead a sinusoid is fitted to the samples of each job. Its period is
+// common to all jobs of a cell: the candidate that predicts the next samples best. If no period explains at least half
+// of the variance of the loads, a line through the recent samples is used.
 class load_forecast {
 public:
-    // `time` in seconds, rising; `weight` 0 to 1.
+    // Adds a sample of the load of a job. `time` in seconds, not decreasing; `weight` 0 to 1.
     void add(const job_id& job, double time, double load, double weight);
-    // Of a job never looked at: what a service that nothing is known of may have.
+    // Expected load of a job at `time`; without samples a load that an unknown service may have.
     double at(const job_id& job, double time) const;
-    // Seconds; 0 while the loads do not swing as far as is known.
+    // Period of the loads in seconds; 0 while no period is known to fit.
     double period() const;
     void forget(const job_id& job) { jobs_.erase(job); }
     void clear() { jobs_.clear(); }
@@ -34,15 +34,15 @@
     static phase phase_at(double time, double period);
     static const std::array<double, candidates>& periods();
 
-    // load = level + a * cos + b * sin, by least squares with forgetting.
-    struct swing {
-        std::array<double, 6> moments{}; // of (1, cos, sin): 11, 1c, 1s, cc, cs, ss
-        std::array<double, 3> products{};
-        std::array<double, 3> solution{};
+    // Fit of load = level + a * cos + b * sin by least squares; older samples lose weight exponentially.
+    struct sinusoid {
+        std::array<double, 6> moments{};  // sums of the products of (1, cos, sin): 11, 1c, 1s, cc, cs, ss
+        std::array<double, 3> products{}; // sums of load * (1, cos, sin)
+        std::array<double, 3> solution{}; // level, a, b
         void add(double kept, const phase& now, double load, double weight);
         double at(const phase& p) const { return solution[0] + solution[1] * p.cos + solution[2] * p.sin; }
     };
-    // A line through the recent past.
+    // Weighted line through the recent samples: sums of weight, age, age squared, load, and age times load.
     struct line {
         double weight = 0;
         double age = 0;
@@ -50,22 +50,23 @@
         double load = 0;
         double age_load = 0;
         void add(double elapsed, double load, double weight);
-        double ahead(double seconds) const;
+        double predict(double seconds) const;
     };
     struct job_load {
-        double time = 0;
-        double looks = 0;
+        double time = 0;    // of the newest sample
+        double samples = 0; // sum of weights
         line recent;
-        std::array<swing, candidates> swings{};
+        std::array<sinusoid, candidates> sinusoids{}; // by candidate period
     };
     std::map<job_id, job_load> jobs_;
-    double phases_at_ = -1; // all looks of one exchange with a worker share their time
+    // Cache of the phases at phases_at_, since all samples from one exchange with a worker share their time.
+    double phases_at_ = -1;
     std::array<phase, candidates> phases_{};
-    std::array<double, candidates> errors_{}; // of each period's forecasts
-    double judged_ = 0;
-    double mean_ = 0;   // of loads
-    double square_ = 0; // of loads
-    std::size_t best_ = 0;
+    std::array<double, candidates> errors_{}; // sum of squared forecast errors, by candidate period
+    double scored_weight_ = 0;                // sum of the weights of the samples in errors_, mean_ and square_
+    double mean_ = 0;                         // weighted sum of loads
+    double square_ = 0;                       // weighted sum of squared loads
+    std::size_t best_ = 0;                    // index of the period with the least error
 };
 
 } // namespace skylarkhub
--- a/src/flow_place.cpp
+++ b/src/flow_place.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Weights in shares of a worker's processors: what one unit of the cause costs the work on that worker. Serving tasks
-// do not disturb each other, so they are packed on as few workers as hold them: on one without a serving task filling
-// work presses on nobody and has all processors; beside serving tasks that are at the top of their load it has a fifth.
-constexpr double remote_cost = 3.0;   // away from its data a task takes two to three times as long
-constexpr double distrust_cost = 5.0; // a failed run costs the whole run again
-constexpr double excess_cost = 6.0;   // filling work beyond what is borne is slowed, or the tails there go over target
-constexpr double beside_serving = 0.15; // filling work beside serving tasks that bear it now, and may not later
-constexpr double taken_cost = 1.0; // what serving tasks bear is scarcer than processors: spent where a task takes least
-constexpr double apart_cost = 0.6; // plain work on a worker that has no serving task
-constexpr double open_cost = 1.5;  // the first serving task of a worker: one fewer where filling work presses on nobody
-constexpr double tight_cost = 0.6; // what a serving task leaves free, where no other may fit any more
-constexpr double overcommit_cost = 2.0; // filling work that gets less than it wants runs longer
+// Cost of one unit of each cause, as a share of a worker's processors. Serving tasks do not interfere with each other,
+// so they are packed on as few workers as possible: on a worker without serving tasks filling work can use all
+// processors, beside serving tasks at their peak load only a fifth of them.
+constexpr double remote_cost = 3.0;   // task on another rack than its data: runs two to three times as long
+constexpr double distrust_cost = 5.0; // unreliable worker: a failed run has to be repeated in full
+constexpr double excess_cost = 6.0;   // per excess pressure: filling work is slowed, or tails exceed their target
+constexpr double beside_serving_cost = 0.15; // filling work beside serving tasks, whose tolerance may drop
+constexpr double tolerance_cost = 1.0;  // tolerance used up: scarcer than processors, so spent where a task needs least
+constexpr double no_serving_cost = 0.6; // plain (neither filling nor lasting) task on a worker without serving tasks
+constexpr double first_serving_cost = 1.5; // first serving task of a worker: one interference-free worker fewer
+constexpr double fragmentation_cost = 0.6; // resources left free by a serving task, possibly too few for another
+constexpr double overcommit_cost = 2.0;    // filling work with fewer processors than it requests runs longer
 
 } // namespace
 
@@ -45,7 +45,7 @@
                       const expected_interference& interference)
 {
     const double total = std::max<double>(1, static_cast<double>(option.room.cpu_millis));
-    const double counted =
+    const double reserved =
         static_cast<double>(option.held.cpu_millis + (step.filling ? 0 : step.need.cpu_millis)) / total;
     const double wanted = 1.0 - static_cast<double>(available_for_filling(option) - step.need.cpu_millis) / total;
     double cost = distrust_cost * option.distrust;
@@ -54,14 +54,14 @@
     }
     cost += excess_cost * interference.excess_pressure;
     if (step.filling) {
-        cost += taken_cost * interference.taken + wanted + overcommit_cost * std::max(0.0, wanted - 1.0);
-        return cost + (option.serving > 0 ? beside_serving : 0);
+        cost += tolerance_cost * interference.taken + wanted + overcommit_cost * std::max(0.0, wanted - 1.0);
+        return cost + (option.serving > 0 ? beside_serving_cost : 0);
     }
     if (step.lasting) {
-        return cost + tight_cost * (1.0 - counted) + (option.serving == 0 ? open_cost : 0);
+        return cost + fragmentation_cost * (1.0 - reserved) + (option.serving == 0 ? first_serving_cost : 0);
     }
-    // Plain work fills what serving tasks leave, so that other workers stay whole for filling work.
-    return cost + (option.serving > 0 ? 1.0 - counted : apart_cost + wanted);
+    // Plain tasks use what serving tasks leave free, so that workers without serving tasks remain for filling work.
+    return cost + (option.serving > 0 ? 1.0 - reserved : no_serving_cost + wanted);
 }
 
 } // namespace skylarkhub
--- a/src/flow_place_p.h
+++ b/src/flow_place_p.h
@@ -1,4 +1,4 @@
-// Which worker takes a task: room first, then what the task would cost the others there.
+// Choice of the worker for a task: it needs enough free resources, then the cost for the tasks on it decides.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,52 +13,53 @@
 
 namespace skylarkhub {
 
-// One run as its worker's ledger holds it: from before its start is sent until its end is certain.
+// A run in the ledger of a worker: from before its start is sent until its end is certain.
 struct ledger_run {
     run_number run;
     resources need;
     bool filling = false;
     bool lasting = false;
     std::string image;
-    int image_index = 0; // in the interference model: among serving images if it has a tail target, else filling ones
+    // In the interference model: index of a serving image if the run has a tail target, else of a filling image.
+    int image_index = 0;
     duration tail_target{0};
     run_progress progress;
-    bool behind = false; // its worker is distrusted for it already
+    bool behind = false; // it fell behind, and the distrust of its worker already includes that
 };
 
-// A worker as placement sees it.
+// A worker as an option for placement.
 struct placement_candidate {
     worker_id worker;
     rack_id rack;
-    resources room;
-    resources held;               // of tasks that count against the room, those being stopped included
-    std::int64_t filling_cpu = 0; // wanted by filling tasks, not counted against the room
+    resources room; // total capacity
+    resources held; // reserved by tasks, those being stopped included; filling tasks reserve no processors
+    std::int64_t filling_cpu = 0; // requested by filling tasks, not included in `held`
     std::int32_t serving = 0;     // lasting tasks with a tail target
     std::int32_t filling_task_count = 0;
-    std::int64_t lasting_cpu = 0; // of `held`, committed to lasting tasks
-    double distrust = 0;          // 0 healthy; rises with runs that failed or stalled there lately
+    std::int64_t lasting_cpu = 0; // part of `held` that is reserved by lasting tasks
+    double distrust = 0;          // 0: healthy; increases with runs that recently failed or stalled there
 };
 
-// Of what lasting tasks have committed, the share they use on the whole; the rest is left to filling work. Measured on
-// a calm day: filling work beside 80% committed to lasting tasks went on at full speed up to as much again.
+// Average share of their reserved processors that lasting tasks use; the rest is available to filling work. With 80%
+// of the processors reserved by lasting tasks, filling work ran at full speed until it wanted as much again.
 inline constexpr double lasting_use = 0.45;
 
-// Processors that filling work can still have: what committed tasks and other filling work leave unused.
+// Thousandths of a processor that reserved and filling tasks leave unused.
 std::int64_t available_for_filling(const placement_candidate& option);
 
-// Whether a worker, or some worker of a pool, with these labels may take what asks for `label`; empty: any may.
+// Whether a worker, or a worker of a pool, with these labels may run a task that requires `label`; empty: any worker.
 bool has_label(const std::vector<std::string>& labels, const std::string& label);
 
-// True when the task may run there at all: room that every committed task leaves.
+// True if the task fits into the resources that no task has reserved; a filling task needs no free processors.
 bool has_room(const placement_candidate& option, const flow_step& step);
 
-// What the interference model expects if the task goes there.
+// Prediction of the interference model for the task on a worker.
 struct expected_interference {
-    double excess_pressure = 0; // pressure beyond what serving tasks bear
-    double taken = 0;           // of what serving tasks bear, the part that filling work takes up
+    double excess_pressure = 0; // pressure beyond the tolerance of the serving tasks
+    double taken = 0;           // share of that tolerance that filling work uses up
 };
 
-// Lower is better; the unit is a share of the worker's processors.
+// Cost of placing the task on the worker, as a share of the worker's processors; lower is better.
 double placement_cost(const placement_candidate& option, const flow_step& step,
                       const expected_interference& interference);
 
--- a/src/flow_row.cpp
+++ b/src/flow_row.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Bits of flow_step_row::traits.
+// Bit i of flow_step_row::traits stores the i-th of these flags.
 constexpr std::array<bool flow_step::*, 6> trait_bits{&flow_step::checkpointing, &flow_step::gang,
                                                       &flow_step::same_rack,     &flow_step::speculative,
                                                       &flow_step::lasting,       &flow_step::filling};
@@ -60,13 +60,13 @@
 
 namespace {
 
-constexpr char separator = '/';           // of the parts of a key; in no cell's name and no job's id
-constexpr char after_separator = '/' + 1; // ends a range of keys
-constexpr char mark = '!';                // begins what is no cell's name and no job's id
+constexpr char separator = '/';           // between the components of a key; cell names and job ids do not contain it
+constexpr char after_separator = '/' + 1; // the next character, which ends a range of keys with a common prefix
+constexpr char mark = '!';                // first character of reserved names; no cell name or job id starts with it
 constexpr const char* accepted_mark = "!accepted";
 constexpr const char* cancelled_mark = "!cancelled";
 constexpr const char* ends_mark = "!ends-";
-constexpr const char* fence_mark = "!fence"; // sorts before all jobs
+constexpr const char* fence_mark = "!fence"; // sorts before the keys of all jobs
 
 } // namespace
 
--- a/src/flow_row_read_p.h
+++ b/src/flow_row_read_p.h
@@ -1,4 +1,4 @@
-// Rows that entries keep in the table, read back.
+// Decodes rows of flows that were read from the table.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace skylarkhub {
 
-// Empty when the row's bytes cannot be read. What follows from that differs, but nobody would find out why a job stands
-// still that was left out in silence.
+// Empty when the row cannot be decoded. The caller decides what follows; the error is logged here, since a job that is
+// skipped without a log line would stop making progress for no visible reason.
 template <class Row> std::optional<Row> read_flow_row(const flow_edges& edges, const store_row& row)
 {
     std::string reason;
@@ -27,7 +27,7 @@
     return decoded;
 }
 
-// What the rows of a job's index tell of its state. Empty when there are none, or the first cannot be read.
+// Combines the index rows of a job (its state and its cancellation) into one. Empty when no row can be decoded.
 inline std::optional<wire::flow_job_row> read_index(const flow_edges& edges, const std::vector<store_row>& rows)
 {
     std::optional<wire::flow_job_row> state;
--- a/src/flow_types_p.h
+++ b/src/flow_types_p.h
@@ -1,4 +1,5 @@
-// Vocabulary of flows: jobs made of dependent steps, the runs of their tasks on workers, and the rows that keep them.
+// Shared types of flows: jobs made of dependent steps, runs of their tasks on workers, commands to workers and
+// requests to the table in which flow state is stored.
 #pragma once
 
 #include <functional>
@@ -13,38 +14,41 @@
 namespace skylarkhub {
 
 using queue_id = detail::name<struct queue_tag>;
-using run_number = detail::counter<struct run_tag>;        // of a task; rises with every start over the task's life
-using end_number = detail::counter<struct worker_end_tag>; // of the ends that one life of a worker has listed
+using run_number = detail::counter<struct run_tag>; // one start of a task; increases with every start of that task
+using end_number = detail::counter<struct worker_end_tag>; // position of a run's end in the list of one worker process
 
-// --- work ---
+// --- jobs, steps and tasks ---
 
+// A set of equal tasks within a job.
 struct flow_step {
     std::int32_t count = 1;
-    resources need; // of one task
-    duration estimate{0};
-    std::vector<std::int32_t> after; // steps all tasks of which must be done first
-    bool checkpointing = false;
-    bool gang = false;                 // the tasks run together or not at all
-    bool same_rack = false;            // a gang that is slow across racks
-    bool speculative = false;          // copies may run side by side
-    bool lasting = false;              // runs until the job is cancelled
-    bool filling = false;              // its processors come from what other tasks leave unused
-    std::string label;                 // the worker must have it; empty: any
-    rack_id data_rack;                 // slower on any other
+    resources need;                    // of one task
+    duration estimate{0};              // expected run time of one task; 0: unknown
+    std::vector<std::int32_t> after;   // indices of the steps that must be done before this one starts
+    bool checkpointing = false;        // a new run resumes from the newest checkpoint
+    bool gang = false;                 // all tasks of the step run at the same time or none does
+    bool same_rack = false;            // a gang that runs slowly when its tasks are on several racks
+    bool speculative = false;          // several runs of one task may be active at the same time
+    bool lasting = false;              // each task runs until the job is cancelled
+    bool filling = false;              // background work: uses processors that other tasks reserved but leave idle
+    std::string label;                 // label that the worker must have; empty: any worker
+    rack_id data_rack;                 // rack of the input data; a task is slower on any other rack
     std::int32_t per_worker_most = 0;  // tasks of one occurrence on one worker; 0: no limit
-    std::string image;                 // tasks of one image behave alike
-    duration tail_target{0};           // of a lasting task's own response times; 0: none
-    std::int32_t unavailable_most = 0; // tasks that may be away by our doing at a time; 0: not limited
+    std::string image;                 // program that the tasks run; tasks of one image load a worker alike
+    duration tail_target{0};           // tail latency target of a serving (lasting) task; 0: none
+    std::int32_t unavailable_most = 0; // tasks that may be stopped at a time by planned moves; 0: no limit
 };
 
+// A job as its submitter specified it.
 struct flow_spec {
     std::string payload;
     std::vector<flow_step> steps;
-    std::int32_t occurrences = 0; // 0: once, at once
-    wall_time first_due{};
+    std::int32_t occurrences = 0; // runs of the whole job, one every `interval`; 0: a single run without delay
+    wall_time first_due{};        // start of the first occurrence
     duration interval{0};
 };
 
+// One task: the `index`-th of its step, in one occurrence of the job.
 struct flow_task_id {
     job_id job;
     std::int32_t occurrence = 0;
@@ -69,17 +73,17 @@
     std::string host;
     std::string prefix;
     std::string service;
-    std::int32_t priority = 0; // 0 first
-    std::int32_t failures_most = 1;
-    double slack_factor = 1;      // of the longest chain, for the latency objective
-    duration latency_target{0};   // on top of it
-    bool requires_ticket = false; // starts need a ticket of the advice service
+    std::int32_t priority = 0;      // lower values start first
+    std::int32_t failures_most = 1; // failed runs of one task after which the job fails
+    double slack_factor = 1;        // latency objective: multiple of the estimated time of the longest chain of steps
+    duration latency_target{0};     // added to that multiple
+    bool requires_ticket = false;   // every start carries a ticket issued by the advice service
 };
 
 struct flow_service {
     std::string name;
-    bool guards_room = false; // its workers refuse what does not fit
-    bool standby = false;
+    bool guards_room = false; // its workers refuse a task that exceeds their free resources
+    bool standby = false;     // its workers are kept in reserve
 };
 
 struct flow_config {
@@ -91,19 +95,19 @@
 
 // --- workers ---
 
-// One life of a worker, as the platform's list shows it.
+// A worker process in the platform's list of workers.
 struct flow_listed_worker {
-    worker_id worker; // names the life, not the instance
+    worker_id worker; // of this process: a restart of the worker changes it
     net_address address;
     data_centre_id data_centre;
     std::string service;
-    resources room;
+    resources room; // total capacity
     std::vector<std::string> labels;
     rack_id rack;
     bool draining = false;
 };
 
-// An entry of the list that names no worker to use.
+// An entry of the platform's list that cannot be parsed as a worker.
 struct flow_unusable_entry {
     worker_id worker;
     std::string reason;
@@ -114,27 +118,34 @@
     std::vector<flow_unusable_entry> unusable;
 };
 
+// An order is a command to a worker: one of the four structs that follow. Every order carries the fencing token (the
+// owner's epoch), so that a worker refuses the orders of an owner that has been replaced.
+
+// Starts a run of a task.
 struct start_run {
     flow_task_id task;
     run_number run;
     std::string payload;
-    std::string checkpoint; // empty: from the beginning
+    std::string checkpoint; // to resume from; empty: start from the beginning
     worker_time lease_until;
     epoch fence;
     std::string ticket;
 };
+// Ends a run.
 struct stop_run {
     flow_task_id task;
     run_number run;
     epoch fence;
 };
-// Renews the lease of everything on the worker, confirms ends, and asks what runs.
+// A hold: renews the leases of all runs on the worker, confirms ended runs, and requests the list of active and ended
+// runs.
 struct hold_worker {
-    std::optional<worker_time> lease_until; // empty: renews nothing
+    std::optional<worker_time> lease_until; // empty: renews no lease
     epoch fence;
-    end_number confirmed;
-    duration wait{0}; // for an end that is not confirmed
+    end_number confirmed; // ended runs up to this number are stored and need not be listed again
+    duration wait{0};     // longest time the worker may delay its answer until a run ends that is not confirmed
 };
+// Limits the speed of a run to `percent` of full speed.
 struct pace_run {
     flow_task_id task;
     run_number run;
@@ -146,25 +157,27 @@
 enum class order_result : std::uint8_t {
     accepted,
     fenced,    // a higher fencing token was seen
-    stale_run, // this run or a higher one was stopped or has ended there
-    expired,   // its lease had ended
+    stale_run, // this run or a newer run of the task was stopped or has ended on the worker
+    expired,   // the lease in the order was already over
     no_room,
     no_ticket,
-    other_life, // the address belongs to another life of a worker by now
-    unhealthy,  // did nothing
+    other_life, // a restarted worker process now has the address
+    unhealthy,  // the worker is unhealthy and did not carry out the order
     invalid,
-    no_answer // may have been carried out, or may be later
+    no_answer // the order may have been carried out, or may be carried out later
 };
 
 enum class run_end : std::uint8_t { done, failed, stopped, lapsed, broken, alone };
 
+// An active run in the answer to a hold.
 struct reported_run {
     flow_task_id task;
     run_number run;
     std::string checkpoint;
-    std::int32_t progress_percent = 0; // of a lasting task: 100 when it is at work
-    std::int64_t measure = 0;          // a serving task: tail latency in ms; others: processors in use, in thousandths
+    std::int32_t progress_percent = 0; // a lasting task reports 100 once it is operational
+    std::int64_t measure = 0; // serving task: tail latency in ms; other tasks: processors in use, in thousandths
 };
+// An ended run in the answer to a hold.
 struct reported_end {
     end_number number;
     flow_task_id task;
@@ -174,9 +187,9 @@
 };
 struct order_answer {
     order_result result = order_result::no_answer;
-    std::optional<worker_time> clock;
-    std::vector<reported_run> running; // of a hold
-    std::vector<reported_end> ends;    // of a hold
+    std::optional<worker_time> clock;  // of the worker when it answered
+    std::vector<reported_run> running; // only in the answer to a hold
+    std::vector<reported_end> ends;    // only in the answer to a hold
     std::string reason;
 };
 
@@ -185,7 +198,7 @@
     net_address address;
 };
 
-// --- table rows by table, part and key; a transaction keeps to one part ---
+// --- the table: rows are addressed by table, part and key; a transaction changes rows of one part only ---
 
 struct store_key {
     std::string table;
@@ -201,9 +214,10 @@
     row_version version;
     bool removed = false;
 };
+// A condition of a transaction: the row has this version.
 struct store_check {
     store_key key;
-    row_version version; // 0: must be absent
+    row_version version; // 0: the row must not exist
 };
 struct store_put {
     store_key key;
@@ -216,26 +230,28 @@
 };
 struct store_result {
     table_outcome outcome = table_outcome::unknown;
-    row_version version;         // of what was written
-    std::vector<store_row> rows; // after a conflict: the rows checked, as they are
+    row_version version;         // of the rows that the transaction wrote
+    std::vector<store_row> rows; // after a conflict: current values of the checked rows
     std::string reason;
 };
 struct store_range {
     std::string table;
     std::string part;
-    std::string from;  // keys; empty: the first
-    std::string to;    // excluded; empty: to the end
-    int rows_most = 0; // in one page; 0: as many as the table gives
+    std::string from;  // first key; empty: from the first key of the part
+    std::string to;    // end of the range, excluded; empty: to the last key of the part
+    int rows_most = 0; // in one page; 0: the table's own limit
 };
+// Requests the changes of a table after a version; the table waits up to `wait` for one.
 struct store_watch {
     std::string table;
     row_version after;
     duration wait{0};
 };
+// The answer to the read of a range or to a watch.
 struct store_page {
-    bool reached = false;
-    bool history_compacted = false; // of a watch: read the table anew
-    bool more = false;
+    bool reached = false;           // the table answered
+    bool history_compacted = false; // watch only: changes are missing, the whole table has to be read again
+    bool more = false;              // further rows follow in the next page
     row_version version;
     std::vector<store_row> rows;
     std::string reason;
--- a/tests/test_flow_demand.cpp
+++ b/tests/test_flow_demand.cpp
@@ -1,4 +1,4 @@
-// What lasting jobs leave to work that ends: as much as such work was seen to need.
+// The share of processors that lasting jobs leave free for batch work, by the measured demand of batch jobs.
 #include <boost/test/unit_test.hpp>
 
 #include "flow_demand_p.h"
@@ -30,25 +30,25 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(lasting_jobs_leave_what_a_steady_flow_of_rebuilds_needs)
+BOOST_AUTO_TEST_CASE(the_reserve_covers_a_steady_demand_of_batch_jobs)
 {
-    // A fifth of the rebuilds is never done: they ask for a third of all processors, five and a half jobs a second of
-    // 151 processor seconds each, and lasting jobs that came before them left a tenth.
+    // Batch jobs arrive at 5.5 a second with 151 processor seconds each, a third of all processors. If earlier lasting
+    // jobs left only a tenth free, a fifth of the batch jobs would never be done.
     batch_demand demand;
-    const double each = batch_cpu_seconds(make_job(false));
-    BOOST_TEST(each == 2 * 8 * 3500 * 2.7, boost::test_tools::tolerance(1e-9));
+    const double job_cpu_seconds = batch_cpu_seconds(make_job(false));
+    BOOST_TEST(job_cpu_seconds == 2 * 8 * 3500 * 2.7, boost::test_tools::tolerance(1e-9));
     for (int i = 0; i < 330; ++i) {
-        demand.note(begun + i * 182ms, 0ms, each);
+        demand.note(begun + i * 182ms, 0ms, job_cpu_seconds);
     }
     const double reserve = batch_reserve(demand.cpu_millis(begun + 60s, begun, room), room);
     BOOST_TEST(reserve > 0.31);
     BOOST_TEST(reserve < 0.39);
 }
 
-BOOST_AUTO_TEST_CASE(where_nothing_ends_lasting_jobs_get_the_room)
+BOOST_AUTO_TEST_CASE(without_batch_jobs_the_reserve_falls_to_its_minimum)
 {
-    // An owner keeps a share free from its first moment, as it can't know yet what comes. It must not refuse watches
-    // for ever on behalf of rebuilds that nobody hands in.
+    // A new owner keeps a default share free, since it does not know the demand yet. It must not refuse lasting jobs
+    // for ever in favour of batch jobs that are never submitted.
     const batch_demand demand;
     BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::default_demand_share,
                boost::test_tools::tolerance(1e-6));
@@ -56,20 +56,20 @@
     BOOST_TEST(batch_cpu_seconds(make_job(true)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_rush_of_work_that_ends_does_not_shut_lasting_jobs_out)
+BOOST_AUTO_TEST_CASE(a_burst_of_batch_jobs_does_not_exceed_the_largest_reserve)
 {
     batch_demand demand;
     for (int i = 0; i < 1000; ++i) {
         demand.note(begun, 0ms, 100'000);
     }
     BOOST_TEST(batch_reserve(demand.cpu_millis(begun, begun, room), room) == flow_limits::max_batch_reserve);
-    BOOST_TEST(batch_reserve(5, 0) == flow_limits::min_batch_reserve); // no worker is known
+    BOOST_TEST(batch_reserve(5, 0) == flow_limits::min_batch_reserve); // no known worker
 }
 
-BOOST_AUTO_TEST_CASE(a_follower_counts_jobs_by_their_age)
+BOOST_AUTO_TEST_CASE(a_new_owner_counts_jobs_by_their_age)
 {
-    // Callers are refused after each takeover: the follower reads the jobs of the last minute at once, and took them
-    // for as many that came in within a moment.
+    // A new owner of a cell reads the jobs of the last minute at once. If it counted them as jobs that arrived at that
+    // moment, it would overestimate the demand and refuse callers after each change of owner.
     batch_demand seen;
     batch_demand read;
     for (int i = 0; i < 60; ++i) {
@@ -80,7 +80,7 @@
     BOOST_TEST(static_cast<double>(read.cpu_millis(late, late - 1h, room)) ==
                    static_cast<double>(seen.cpu_millis(late, late - 1h, room)),
                boost::test_tools::tolerance(1e-3));
-    // A clock that is behind the one that accepted the job.
+    // A job from the future, since this clock is behind that of the process which accepted the job.
     batch_demand ahead;
     ahead.note(begun, -5s, 100'000);
     BOOST_TEST(ahead.cpu_millis(begun, begun - 1h, room) == 5000);
--- a/tests/test_flow_interference.cpp
+++ b/tests/test_flow_interference.cpp
@@ -1,4 +1,4 @@
-// What filling work does to serving tasks: the model that learns it, the paces chosen from it, and placement by it.
+// Interference of filling work with serving tasks: the model, the choice of paces, and the cost of placement.
 #include <boost/test/unit_test.hpp>
 
 #include <cmath>
@@ -13,20 +13,22 @@
 
 constexpr double idle_tail = 0.22; // of the target
 
-// What a serving task measures beside filling work: a queue whose load the filling work makes heavier.
+// Tail latency of a serving task, relative to its target: that of a queue whose utilization grows with the pressure of
+// filling work.
 double tail_at(double load, double pressure, double noise)
 {
     const double utilization = std::min(0.94, load * (1 + pressure));
     return idle_tail / (1 - utilization) * (1 + noise);
 }
 
-// Looks at workers where image "heavy" presses 6 on "sensitive" and 0.5 on "calm", and "light" 0.5 on both.
-void show_looks(interference_model& model, int looks)
+// Adds samples in which filling image "heavy" has the coefficient 6 with serving image "sensitive" and 0.5 with "calm",
+// and filling image "light" 0.5 with both.
+void add_samples(interference_model& model, int samples)
 {
     random_source random = make_random(7);
     const int heavy = model.filling_index("heavy");
     const int light = model.filling_index("light");
-    for (int i = 0; i < looks; ++i) {
+    for (int i = 0; i < samples; ++i) {
         const double h = absl::Uniform(random, 0.0, 0.2);
         const double l = absl::Uniform(random, 0.0, 0.3);
         const double load = absl::Uniform(random, 0.2, 0.5);
@@ -46,10 +48,10 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(pairs_that_press_hard_stand_out_after_a_few_dozen_looks)
+BOOST_AUTO_TEST_CASE(strong_interference_is_recognised_after_60_samples)
 {
     interference_model model;
-    show_looks(model, 60);
+    add_samples(model, 60);
     const int heavy = model.filling_index("heavy");
     const int light = model.filling_index("light");
     BOOST_TEST(model.interference_coefficient(model.serving_index("sensitive"), heavy) > 3);
@@ -57,10 +59,10 @@
     BOOST_TEST(model.interference_coefficient(model.serving_index("calm"), heavy) < 1.5);
 }
 
-BOOST_AUTO_TEST_CASE(what_another_cell_learned_is_where_learning_starts)
+BOOST_AUTO_TEST_CASE(coefficients_of_another_cell_are_the_prior)
 {
     interference_model taught;
-    show_looks(taught, 60);
+    add_samples(taught, 60);
     interference_model fresh;
     for (const auto& [pair, interference_coefficient] : taught.learned()) {
         for (int i = 0; i < 10; ++i) {
@@ -70,12 +72,11 @@
     BOOST_TEST(fresh.interference_coefficient(fresh.serving_index("sensitive"), fresh.filling_index("heavy")) > 3);
 }
 
-BOOST_AUTO_TEST_CASE(work_that_presses_least_keeps_its_pace)
+BOOST_AUTO_TEST_CASE(filling_work_with_the_least_interference_keeps_its_pace)
 {
-    // Both images fill a worker of a sensitive service that bears little: the light one goes on, the heavy one is
-    // slowed.
+    // Both filling images run beside a serving image with a low tolerance: only "heavy" is slowed.
     interference_model model;
-    show_looks(model, 60);
+    add_samples(model, 60);
     const int heavy = model.filling_index("heavy");
     const int light = model.filling_index("light");
     std::vector<double> shares(2);
@@ -86,21 +87,22 @@
     BOOST_TEST(paces[static_cast<std::size_t>(heavy)] < 50);
 }
 
-BOOST_AUTO_TEST_CASE(without_serving_tasks_nothing_is_slowed)
+BOOST_AUTO_TEST_CASE(without_serving_tasks_no_filling_work_is_slowed)
 {
     interference_model model;
-    show_looks(model, 60);
+    add_samples(model, 60);
     for (const int pace : choose_paces(model, {}, {0.9, 0.9})) {
         BOOST_TEST(pace == 100);
     }
 }
 
-BOOST_AUTO_TEST_CASE(less_is_borne_at_the_top_of_a_swing)
+BOOST_AUTO_TEST_CASE(the_tolerated_pressure_falls_with_the_load)
 {
-    // The user of a serving task sees it slow down once every swing when filling work is let in by what is borne on the
-    // whole: at a load of 0.6 a pressure of a fifth is all that a tail at 0.22 of its target when idle leaves.
+    // If filling work were admitted by the average tolerance, serving tasks would slow down once in each period of
+    // their load: at a load of 0.6 and an idle tail latency of 0.22 of the target, the tolerated pressure is only a
+    // fifth.
     interference_model model;
-    show_looks(model, 60);
+    add_samples(model, 60);
     const int calm = model.serving_index("calm");
     for (const double load : {0.2, 0.42, 0.62}) {
         const double tolerated_pressure = model.tolerable_pressure(calm, load);
@@ -112,7 +114,7 @@
     BOOST_TEST(model.tolerable_pressure(calm, 0.95) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(a_backlog_says_nothing_of_the_load)
+BOOST_AUTO_TEST_CASE(a_backlog_gives_no_estimate_of_the_load)
 {
     interference_model model;
     const int serving = model.serving_index("page");
@@ -124,7 +126,7 @@
     BOOST_TEST(model.load_weight(serving, model.utilization(serving, 0.4), shares) < 0.2);
 }
 
-BOOST_AUTO_TEST_CASE(serving_tasks_are_packed_and_whole_workers_left_to_filling_work)
+BOOST_AUTO_TEST_CASE(serving_tasks_are_packed_and_filling_work_prefers_workers_without_them)
 {
     flow_step serving;
     serving.lasting = true;
@@ -149,7 +151,7 @@
     BOOST_TEST(placement_cost(empty, filling, {}) < placement_cost(begun, filling, {}));
 }
 
-BOOST_AUTO_TEST_CASE(filling_work_is_not_counted_against_the_room)
+BOOST_AUTO_TEST_CASE(a_filling_task_needs_no_free_processors_but_free_memory)
 {
     flow_step filling;
     filling.filling = true;
@@ -165,7 +167,7 @@
     BOOST_TEST(!has_room(option, filling));
 }
 
-BOOST_AUTO_TEST_CASE(a_task_prefers_the_rack_of_its_data_and_shuns_workers_that_fail)
+BOOST_AUTO_TEST_CASE(a_task_prefers_the_rack_of_its_data_and_avoids_unreliable_workers)
 {
     flow_step step;
     step.need = {1000, 1000, 0};
--- a/tests/test_flow_job.cpp
+++ b/tests/test_flow_job.cpp
@@ -1,4 +1,4 @@
-// A flow's record: what it opens, which facts it keeps, and how two writers' rows are merged.
+// The state of a job: opening of steps, recorded progress, and the merge of rows from several writers.
 #include <boost/test/unit_test.hpp>
 
 #include <algorithm>
@@ -35,7 +35,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_specification_survives_its_row)
+BOOST_AUTO_TEST_CASE(a_specification_is_unchanged_by_conversion_to_a_row_and_back)
 {
     const flow_spec spec = spec_of(two_steps());
     BOOST_TEST(spec.payload == "p");
@@ -58,10 +58,10 @@
     BOOST_TEST(flow.stages().at(1).ready == 3);
 }
 
-BOOST_AUTO_TEST_CASE(facts_of_two_writers_are_kept_both)
+BOOST_AUTO_TEST_CASE(progress_of_two_writers_is_merged)
 {
-    // The owner has noted an end, and another entry has cancelled the job meanwhile: the row the owner writes after the
-    // conflict must tell both.
+    // The owner records an end while another entry cancels the job: the row that the owner writes after the conflict
+    // must contain both.
     flow_job flow(job, here, two_steps(), row_version(1));
     flow.open_stages(instant{}, wall_time{});
     flow.note_done({job, 0, 0, 1});
@@ -85,7 +85,7 @@
     BOOST_TEST(flow.next_run(task, epoch(4)).value() > 1000);
 }
 
-BOOST_AUTO_TEST_CASE(a_task_given_to_another_cell_is_ready_there_only_and_numbered_above)
+BOOST_AUTO_TEST_CASE(a_task_handed_to_another_cell_is_ready_only_there_with_higher_run_numbers)
 {
     flow_job flow(job, here, two_steps(), row_version(1));
     flow.open_stages(instant{}, wall_time{});
@@ -121,20 +121,20 @@
     BOOST_TEST(settings->cpu_share == 0.07);
 }
 
-// An owner that has been followed starts a task that another cell has given to its follower.
-BOOST_AUTO_TEST_CASE(a_task_given_to_a_later_owner_shows_an_earlier_one_that_it_was_followed)
+// Guards against a replaced owner that starts a task which another cell has handed to the new owner.
+BOOST_AUTO_TEST_CASE(a_task_handed_to_a_newer_owner_shows_the_replaced_owner_its_epoch)
 {
     flow_job giver(job, here, two_steps(), row_version(1));
     giver.open_stages(instant{}, wall_time{});
-    flow_job followed(job, cell_id("b"), two_steps(), row_version(0));
-    BOOST_TEST((followed.newest_epoch() == epoch(0)));
+    flow_job replaced(job, cell_id("b"), two_steps(), row_version(0));
+    BOOST_TEST((replaced.newest_epoch() == epoch(0)));
     giver.hand_off_task({job, 0, 0, 0}, cell_id("b"), epoch(4), epoch(3));
-    followed.merge(instant{}, giver.current_row(), row_writer_kind::other_cell);
-    BOOST_TEST((followed.newest_epoch() == epoch(4)));
+    replaced.merge(instant{}, giver.current_row(), row_writer_kind::other_cell);
+    BOOST_TEST((replaced.newest_epoch() == epoch(4)));
 }
 
-// A receiver starts a task before its row tells that it has it, and its follower starts the task as well.
-BOOST_AUTO_TEST_CASE(a_task_from_another_cell_is_received_once_the_row_tells_so)
+// If an owner started a task before its row records the arrival of that task, the next owner could start it as well.
+BOOST_AUTO_TEST_CASE(a_task_from_another_cell_is_received_once_the_row_records_it)
 {
     flow_job giver(job, here, two_steps(), row_version(1));
     giver.open_stages(instant{}, wall_time{});
@@ -145,13 +145,13 @@
     BOOST_TEST(!receiver.is_transfer_persisted(task));
     receiver.mark_written(receiver.changes(), row_version(2));
     BOOST_TEST(receiver.is_transfer_persisted(task));
-    const flow_job follower(job, cell_id("b"), receiver.current_row(), row_version(2));
-    BOOST_TEST(!follower.dirty());
+    const flow_job next_owner(job, cell_id("b"), receiver.current_row(), row_version(2));
+    BOOST_TEST(!next_owner.dirty());
 }
 
-// A followed entry leaves an end to its cell's next owner, which takes it for known, and the job's owner never hears of
-// it.
-BOOST_AUTO_TEST_CASE(ends_that_a_followed_entry_left_are_passed_on)
+// A replaced owner leaves a row with an end to the next owner of its cell. If the next owner did not write it, the
+// owner of the job's cell would never get that end.
+BOOST_AUTO_TEST_CASE(ends_left_by_a_replaced_owner_are_passed_on)
 {
     flow_job left(job, cell_id("b"), two_steps(), row_version(1));
     left.note_done({job, 0, 0, 0});
@@ -164,9 +164,9 @@
     BOOST_TEST(!other.dirty());
 }
 
-// The owner of a cancelled job's cell hears of a cell that was given a task meanwhile, and does not tell it of the
-// cancel.
-BOOST_AUTO_TEST_CASE(cells_that_come_to_a_cancelled_job_are_told)
+// While a job is cancelled, one cell hands a task to another one. The owner of the job's cell has to notify that cell
+// of the cancellation when it reads of the move.
+BOOST_AUTO_TEST_CASE(cells_that_get_a_task_of_a_cancelled_job_are_notified)
 {
     flow_job home(job, here, two_steps(), row_version(1));
     home.open_stages(instant{}, wall_time{});
@@ -184,8 +184,8 @@
     BOOST_TEST((home.cells_to_notify() == std::vector<cell_id>{cell_id("c")}));
 }
 
-// Owners tell each other of each write, and a site with many cells spends its writes on news that change nothing.
-BOOST_AUTO_TEST_CASE(only_those_are_told_whom_a_change_concerns)
+// If owners notified all other cells of each write, a site with many cells would spend its writes on useless news.
+BOOST_AUTO_TEST_CASE(only_cells_concerned_by_a_change_are_notified)
 {
     flow_job home(job, here, two_steps(), row_version(1));
     home.open_stages(instant{}, wall_time{});
@@ -204,10 +204,10 @@
     BOOST_TEST((other.cells_to_notify() == std::vector<cell_id>{here}));
 }
 
-BOOST_AUTO_TEST_CASE(the_newest_start_counts_whoever_noted_it)
+BOOST_AUTO_TEST_CASE(the_newest_start_counts_whichever_owner_recorded_it)
 {
-    // An owner and its follower have noted starts of a task, and the first hears late that its run has ended. Taken for
-    // the newest, the older one would have the next owner ask, or not ask, the wrong worker.
+    // An owner and its successor record starts of one task, and the former owner learns late that its run has ended. If
+    // the older start counted as the newest, the next owner would ask the wrong worker for the run.
     const flow_task_id task{job, 0, 0, 0};
     flow_job one(job, here, two_steps(), row_version(1));
     flow_job other(job, here, two_steps(), row_version(1));
@@ -223,10 +223,10 @@
     BOOST_TEST((one.next_run(*one.find_task(task), epoch(3)) == run_number(1002)));
 }
 
-BOOST_AUTO_TEST_CASE(notes_of_starts_count_no_longer_once_a_writer_has_left_them_out)
+BOOST_AUTO_TEST_CASE(recorded_starts_are_not_trusted_once_a_writer_has_dropped_them)
 {
-    // An entry of an earlier release writes the row as it knows it. Believed all the same, its row would say that tasks
-    // which run were never started.
+    // An entry of an earlier release drops recorded starts when it writes the row. If its row were trusted, running
+    // tasks would be taken for tasks that were never started.
     flow_job flow(job, here, two_steps(), row_version(1));
     BOOST_TEST(flow.row().starts_noted);
     wire::flow_job_row older = flow.current_row();
@@ -235,11 +235,11 @@
     BOOST_TEST(!flow.current_row().starts_noted);
 }
 
-BOOST_AUTO_TEST_CASE(failed_runs_count_in_whatever_order_their_ends_are_heard)
+BOOST_AUTO_TEST_CASE(failed_runs_count_in_any_order_of_their_ends)
 {
-    // The table is down while a task fails on three workers, then its owner dies. The next owner hears of the third run
-    // first: counted by the newest number only, the two before it would not count, and the task would start again after
-    // it had failed as often as it may.
+    // A task fails on three workers while the table is down, then its owner dies. The next owner gets the end of the
+    // third run first. If only higher run numbers counted, the other two failures would be lost, and the task would
+    // start again although it has reached its limit of failures.
     flow_job next(job, here, two_steps(), row_version(1));
     const flow_task_id task{job, 0, 0, 0};
     BOOST_TEST(next.note_failure(task, run_number(3)) == 1);
@@ -251,9 +251,9 @@
     BOOST_TEST(!after.dirty());
 }
 
-BOOST_AUTO_TEST_CASE(failed_runs_that_two_writers_counted_add_up)
+BOOST_AUTO_TEST_CASE(failed_runs_counted_by_two_writers_add_up)
 {
-    // An owner that was followed counted one run, its follower another; their rows are merged.
+    // A replaced owner and its successor have each counted a different run; their rows are merged.
     const flow_task_id task{job, 0, 0, 0};
     flow_job one(job, here, two_steps(), row_version(1));
     BOOST_TEST(one.note_failure(task, run_number(1)) == 1);
@@ -264,10 +264,10 @@
     BOOST_TEST(one.dirty());
 }
 
-BOOST_AUTO_TEST_CASE(a_failed_run_counts_once_however_often_its_end_is_listed)
+BOOST_AUTO_TEST_CASE(a_failed_run_counts_once_even_if_its_end_is_reported_again)
 {
-    // An owner has counted a failed run in the row and dies before it has confirmed the end. The worker lists it again
-    // to the next owner: counted twice, the job would be shown as failed though no task has failed so often.
+    // An owner stores a failed run and dies before it confirms the end, so the worker reports it to the next owner
+    // again. If it counted twice, the job could be shown as failed before a task has reached its limit of failures.
     flow_job first(job, here, two_steps(), row_version(1));
     BOOST_TEST(first.note_failure({job, 0, 0, 0}, run_number(1)) == 1);
     flow_job next(job, here, first.current_row(), row_version(2));
@@ -276,8 +276,9 @@
     BOOST_TEST(next.note_failure({job, 0, 0, 0}, run_number(1001)) == 2);
 }
 
-// A note that nobody writes would leave the row behind for good, and what waits for the row with it.
-BOOST_AUTO_TEST_CASE(a_passing_note_of_a_crash_waits_for_the_next_write_of_the_row)
+// If a deferred crash marked the row as outdated, the row could stay outdated for ever, and with it all that waits for
+// its write, since a deferred crash causes no write.
+BOOST_AUTO_TEST_CASE(a_deferred_crash_waits_for_the_next_write_of_the_row)
 {
     const flow_task_id task{job, 0, 0, 0};
     wire::crash_row crash;
@@ -292,9 +293,9 @@
     BOOST_TEST(one.find_task(task)->crashes.empty());
 }
 
-// Crashes are heard of by several owners, in any order and more than once: counted twice, or brought back after the
-// task has shown itself innocent, they would end its job.
-BOOST_AUTO_TEST_CASE(crashes_under_a_task_join_in_whatever_order_they_come)
+// Several owners learn of crashes in any order and more than once. If a crash counted twice, or returned after the task
+// proved harmless, the job would be ended by mistake.
+BOOST_AUTO_TEST_CASE(crashes_of_a_task_are_merged_in_any_order)
 {
     const flow_task_id task{job, 0, 0, 0};
     const auto crash = [](std::int64_t run) {
--- a/tests/test_flow_wire.cpp
+++ b/tests/test_flow_wire.cpp
@@ -1,4 +1,4 @@
-// The platform's words: its table, workers, operator and callers, to and from the product's types.
+// Conversion between the types of the project and the platform's messages: table, workers, configuration and callers.
 #include <absl/strings/escaping.h>
 #include <boost/test/unit_test.hpp>
 
@@ -28,7 +28,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_transaction_carries_its_conditions)
+BOOST_AUTO_TEST_CASE(a_transaction_contains_its_conditions)
 {
     store_transaction t;
     t.checks.push_back({{"t", "p", "k"}, row_version(7)});
@@ -38,7 +38,7 @@
     BOOST_TEST(body["put"][0]["value"] == "dmFsdWU=");
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_did_not_come_is_unknown_and_a_refusal_is_not)
+BOOST_AUTO_TEST_CASE(a_lost_answer_leaves_the_outcome_unknown_and_a_refusal_does_not)
 {
     http_result lost;
     lost.may_have_arrived = true;
@@ -52,7 +52,7 @@
     BOOST_TEST(applied.version.value() == 412);
 }
 
-BOOST_AUTO_TEST_CASE(a_conflict_brings_the_rows_as_they_are)
+BOOST_AUTO_TEST_CASE(a_conflict_returns_the_current_rows)
 {
     const store_result result = read_commit(answered(
         412,
@@ -63,7 +63,7 @@
     BOOST_TEST(result.rows.front().version.value() == 9);
 }
 
-BOOST_AUTO_TEST_CASE(a_start_says_what_runs_where_and_until_when)
+BOOST_AUTO_TEST_CASE(a_start_order_contains_task_worker_and_lease)
 {
     start_run order;
     order.task = {job_id("00000000000000aa"), 0, 1, 17};
@@ -80,7 +80,7 @@
     BOOST_TEST(!body.contains("checkpoint"));
 }
 
-BOOST_AUTO_TEST_CASE(refusals_of_workers_are_told_apart)
+BOOST_AUTO_TEST_CASE(each_refusal_of_a_worker_has_its_own_result)
 {
     const worker_order order = start_run{};
     const auto result = [&](int status, const char* body) { return read_answer(order, answered(status, body)).result; };
@@ -94,7 +94,7 @@
     BOOST_TEST((read_answer(order, http_result{}).result == order_result::no_answer));
 }
 
-BOOST_AUTO_TEST_CASE(an_exchange_lists_runs_and_ends)
+BOOST_AUTO_TEST_CASE(the_answer_to_a_hold_lists_runs_and_ends)
 {
     const order_answer answer = read_answer(
         hold_worker{}, answered(200, R"({"clock-ms":482113,"running":[["00000000000000aa.0.1.17",2,"cp",41,12]],
@@ -108,7 +108,7 @@
     BOOST_TEST(answer.ends.back().number.value() == 59);
 }
 
-BOOST_AUTO_TEST_CASE(a_garbled_exchange_is_no_answer)
+BOOST_AUTO_TEST_CASE(a_malformed_answer_to_a_hold_is_not_accepted)
 {
     const worker_order hold = hold_worker{};
     BOOST_TEST((read_answer(hold, answered(200, R"({"clock-ms":1})")).result != order_result::accepted));
@@ -117,7 +117,7 @@
         (read_answer(hold, answered(200, R"({"running":[[1]],"finished":[]})")).result != order_result::accepted));
 }
 
-BOOST_AUTO_TEST_CASE(a_submission_is_read_whole_or_refused_with_a_reason)
+BOOST_AUTO_TEST_CASE(a_submission_is_read_completely_or_refused_with_a_reason)
 {
     http_request request;
     request.method = "POST";
@@ -147,7 +147,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(answers_to_callers_say_when_to_come_back)
+BOOST_AUTO_TEST_CASE(answers_to_callers_say_when_to_retry)
 {
     caller_answer answer;
     answer.result = caller_result::rejected;
@@ -192,10 +192,10 @@
     BOOST_TEST(list.unusable.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_of_another_writer_names_no_worker_and_the_others_hold)
+BOOST_AUTO_TEST_CASE(an_invalid_worker_entry_is_reported_and_the_others_are_used)
 {
-    // Each bad entry stands between two good ones, in a page of the table as it is answered: both are read, and the bad
-    // one is told with its reason.
+    // Each invalid entry is between two valid ones in a page of the table: both valid ones are read, and the invalid
+    // one is reported with its reason.
     const json good = json::parse(
         R"({"service":"s","address":"10.0.0.1:8","zone":"z","state":"ready","room":{"cpu":16000,"mem-mb":100,"gpus":0},
             "labels":["a","r1-3"],"version":"v1","capacity":8,"cold-remaining-ms":0,"sequence":4})");
@@ -271,7 +271,8 @@
             BOOST_TEST(list.unusable.front().reason == bad.reason);
         }
     }
-    // Rows that are odd as rows: a value that is no base64 or no text, a name that cannot stand in a header.
+    // Rows that are malformed as such: a value that is not base64 or not a string, a name that is not allowed in an
+    // HTTP header.
     json odd{{"rows",
               {row_of("i-1", absl::Base64Escape(good.dump())), row_of("i-2", "%%%"), row_of("i-3", ""),
                row_of("i\r\nX: 4", absl::Base64Escape(good.dump())), row_of("", absl::Base64Escape(good.dump()))}}};
@@ -282,9 +283,9 @@
     BOOST_TEST(list.unusable.size() == 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_page_that_cannot_be_read_is_no_empty_page)
+BOOST_AUTO_TEST_CASE(an_unreadable_page_is_not_an_empty_page)
 {
-    // Taken for an empty one it would say that every job and every worker is gone.
+    // If an unreadable page were taken for an empty one, all jobs and workers would seem to be gone.
     for (const char* body : {"", "nonsense", "[]", R"({"rows":7})", R"({"rows":[7]})"}) {
         BOOST_TEST(!read_page(answered(200, body)).reached);
     }
@@ -298,7 +299,7 @@
     BOOST_TEST((read_commit(answered(412, R"({"rows":[{"key":7}]})")).outcome == table_outcome::conflict));
 }
 
-BOOST_AUTO_TEST_CASE(answers_of_workers_with_fields_of_another_type_are_no_answers)
+BOOST_AUTO_TEST_CASE(answers_of_workers_with_fields_of_a_wrong_type_are_rejected)
 {
     const worker_order hold = hold_worker{};
     for (const char* body :
@@ -327,7 +328,7 @@
     BOOST_TEST((read_answer(start_run{}, answered(409, "[]")).result == order_result::stale_run));
 }
 
-BOOST_AUTO_TEST_CASE(a_submission_with_numbers_that_fit_nowhere_is_refused)
+BOOST_AUTO_TEST_CASE(a_submission_with_invalid_fields_or_numbers_out_of_range_is_refused)
 {
     http_request request;
     request.method = "POST";
@@ -348,9 +349,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_body_that_is_no_utf8_is_refused_with_an_answer)
+BOOST_AUTO_TEST_CASE(a_body_that_is_not_utf8_is_refused_with_an_answer)
 {
-    // The reason quotes the body, and an answer that could not be encoded for that would end the process.
+    // The reason quotes the body. If the quote made it impossible to encode the answer, the process would terminate.
     http_request request;
     request.method = "POST";
     request.path = "/q/00000000000000aa";
@@ -366,7 +367,7 @@
     BOOST_TEST(json::parse(response.body, nullptr, false).is_object());
 }
 
-BOOST_AUTO_TEST_CASE(rows_of_its_own_that_are_damaged_are_refused_with_a_reason)
+BOOST_AUTO_TEST_CASE(damaged_job_rows_are_refused_with_a_reason)
 {
     flow_spec spec;
     spec.payload = "payload";
@@ -379,7 +380,7 @@
             damaged[at] = static_cast<char>(damaged[at] ^ (1 << bit));
             std::string reason;
             const auto row = decode_compact<wire::flow_job_row>(damaged, &reason);
-            BOOST_TEST((row.has_value() || !reason.empty())); // a flipped bit may also make another row
+            BOOST_TEST((row.has_value() || !reason.empty())); // a flipped bit may also result in a valid row
         }
     }
     std::string reason;
@@ -387,10 +388,10 @@
     BOOST_TEST(!reason.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_worker_whose_row_has_changed_is_read_anew)
+BOOST_AUTO_TEST_CASE(a_worker_whose_row_has_changed_is_read_again)
 {
-    // Rows whose version is known are not parsed again. A worker that begins to drain writes a new version of its row:
-    // taken for the old one, it would be sent tasks until it is gone.
+    // Rows with a known version are not parsed again. A worker that starts to drain writes a new version of its row: if
+    // the cached version were used, tasks would be sent to the worker until it is gone.
     store_row row;
     row.key.key = "w@1";
     row.version = row_version(7);
@@ -409,9 +410,9 @@
     BOOST_TEST(reader.read({}).workers.empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_page_is_read_whole_or_not_at_all)
+BOOST_AUTO_TEST_CASE(a_page_is_read_completely_or_not_at_all)
 {
-    // A page cut short whose rows were taken for all there are would make every worker after the cut look gone.
+    // If the rows of a truncated page were taken for all rows, every worker after the truncation would seem to be gone.
     http_result answer;
     answer.answered = true;
     answer.status = 200;
