--- a/tests/support_flow_checks.h
+++ b/tests/support_flow_checks.h
@@ -1,4 +1,4 @@
-// What every test with a flow_simulation ends with.
+// The check that ends every test with a flow_simulation.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -9,11 +9,11 @@
 
 namespace skylarkhub::test {
 
-// Each broken promise is an error of the test.
-inline void check_no_violations(const flow_simulation& w)
+// Reports each invariant violation of the simulation as an error of the test.
+inline void check_no_violations(const flow_simulation& simulation)
 {
-    for (const std::string& fault : w.invariant_violations()) {
-        BOOST_ERROR(fault);
+    for (const std::string& violation : simulation.invariant_violations()) {
+        BOOST_ERROR(violation);
     }
 }
 
--- a/tests/support_flow_simulation.cpp
+++ b/tests/support_flow_simulation.cpp
@@ -15,17 +15,19 @@
 
 using namespace std::chrono_literals;
 
-constexpr int failures_most = 3;
-constexpr int crashes_most = 3; // under a task; it is not started three times more
-constexpr int starts_after_most = 2;
-constexpr duration page_waited_for = 1500ms;
-constexpr duration peer_waited_for = 900ms;
-constexpr duration look_waited_for = 1500ms; // once there is something to tell
-// How long a task may go on after its job was cancelled, or after it was started late: time to hear of it, and to stop.
-constexpr duration cancelled_run_most = 3200ms;
-constexpr duration calm_after = 3s; // a removal or a cut, until promises with a time count again
+constexpr int max_failures = 3;
+// A task that has crashed this many workers may be started at most max_starts_after_crashes times more.
+constexpr int max_crashes = 3;
+constexpr int max_starts_after_crashes = 2;
+constexpr duration page_timeout = 1500ms;
+constexpr duration peer_timeout = 900ms;
+constexpr duration watch_timeout = 1500ms; // for the rest of an answer that has begun
+// How long a task may run on after its job was cancelled, or after a delayed start: the time until the owner learns of
+// it and the worker has stopped the task.
+constexpr duration max_cancelled_run_time = 3200ms;
+constexpr duration recovery_time = 3s; // after an entry is killed, time limits do not apply for this long
 constexpr duration check_interval = 50ms;
-constexpr duration gang_patience = 3s; // of a member for the others, then it ends alone
+constexpr duration gang_timeout = 3s; // a member whose gang is not complete by then ends as `alone`
 
 resources larger(const resources& a, const resources& b)
 {
@@ -40,11 +42,11 @@
     queue.host = "host";
     queue.prefix = fmt::format("/{}/", name);
     queue.service = "service";
-    queue.failures_most = failures_most;
+    queue.failures_most = max_failures;
     return queue;
 }
 
-// "VERSION QUEUE QUEUE ... ;" and whatever pads it.
+// Writes "VERSION QUEUE QUEUE ... ;", padded to `bytes`.
 std::string write_config_text(std::int64_t version, const std::vector<std::string>& queues, std::size_t bytes)
 {
     std::string text = fmt::format("{} {} ;", version, fmt::join(queues, " "));
@@ -97,7 +99,8 @@
 flow_simulation::flow_simulation(options o)
     : options_(std::move(o)),
       random_(make_random(options_.seed)),
-      links_(options_.link_bytes_per_s, [this](duration d, std::function<void()> what) { later(d, std::move(what)); }),
+      links_(options_.link_bytes_per_s,
+             [this](duration d, std::function<void()> what) { schedule(d, std::move(what)); }),
       config_text_(write_config_text(1, {"q"}, 0))
 {
     int n = 0;
@@ -142,7 +145,7 @@
 
 // --- time ---
 
-void flow_simulation::later(duration d, std::function<void()> what)
+void flow_simulation::schedule(duration d, std::function<void()> what)
 {
     queue_.emplace(now_ + std::max(d, duration(1)), std::move(what));
 }
@@ -182,7 +185,7 @@
         return;
     }
     if (slot.frozen) {
-        slot.missed.push_back({timer, [this, entry, life, what] { on_entry(entry, life, what); }});
+        slot.deferred.push_back({timer, [this, entry, life, what] { on_entry(entry, life, what); }});
         return;
     }
     what(*slot.decisions, now_);
@@ -196,18 +199,19 @@
     ++slot.starts;
     slot.identity.incarnation = incarnation_id(fmt::format("{}@{}", slot.identity.entry.str(), slot.starts));
     slot.decisions = std::make_unique<flow_entry>(slot.identity, make_edges(entry));
-    later(1ms,
-          [this, entry, life = slot.life] { on_entry(entry, life, [](flow_entry& e, instant now) { e.begin(now); }); });
+    schedule(1ms, [this, entry, life = slot.life] {
+        on_entry(entry, life, [](flow_entry& e, instant now) { e.begin(now); });
+    });
 }
 
 void flow_simulation::kill_entry(int entry)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     ++slot.life;
-    impaired_at_ = now_;
+    last_kill_ = now_;
     slot.decisions.reset();
     slot.frozen = false;
-    slot.missed.clear();
+    slot.deferred.clear();
 }
 
 void flow_simulation::pause_entry(int entry)
@@ -220,33 +224,33 @@
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     slot.frozen = false;
     if (newest_first) {
-        std::reverse(slot.missed.begin(), slot.missed.end());
+        std::reverse(slot.deferred.begin(), slot.deferred.end());
     }
-    for (const auto& event : std::exchange(slot.missed, {})) {
+    for (const auto& event : std::exchange(slot.deferred, {})) {
         event.handle();
     }
 }
 
-void flow_simulation::let_timers(int entry)
+void flow_simulation::run_timers_only(int entry)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
-    const auto answers =
-        std::stable_partition(slot.missed.begin(), slot.missed.end(), [](const missed_event& e) { return e.timer; });
-    std::vector<missed_event> waiting(std::make_move_iterator(answers), std::make_move_iterator(slot.missed.end()));
-    slot.missed.erase(answers, slot.missed.end());
+    const auto answers = std::stable_partition(slot.deferred.begin(), slot.deferred.end(),
+                                               [](const deferred_event& e) { return e.timer; });
+    std::vector<deferred_event> waiting(std::make_move_iterator(answers), std::make_move_iterator(slot.deferred.end()));
+    slot.deferred.erase(answers, slot.deferred.end());
     resume_entry(entry);
     slot.frozen = true;
-    slot.missed = std::move(waiting);
+    slot.deferred = std::move(waiting);
 }
 
 void flow_simulation::inject_entry_pauses(int entry, duration pause_most)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     slot.pause_most = pause_most;
-    take_turn(entry, ++slot.slow_turns);
+    run_slow_turn(entry, ++slot.slow_turns);
 }
 
-void flow_simulation::take_turn(int entry, std::uint64_t spell)
+void flow_simulation::run_slow_turn(int entry, std::uint64_t spell)
 {
     entry_slot& slot = entries_.at(static_cast<std::size_t>(entry));
     if (slot.slow_turns != spell) {
@@ -258,22 +262,22 @@
     }
     const int order = absl::Uniform(random_, 0, 4);
     if (order == 0) {
-        std::shuffle(slot.missed.begin(), slot.missed.end(), random_);
+        std::shuffle(slot.deferred.begin(), slot.deferred.end(), random_);
     }
     if (order == 1) {
-        let_timers(entry);
+        run_timers_only(entry);
     }
     else {
         resume_entry(entry, order == 2);
     }
-    later(duration(absl::Uniform<std::int64_t>(random_, 0, 40'000)), [this, entry, spell] {
-        entry_slot& held = entries_.at(static_cast<std::size_t>(entry));
-        if (held.slow_turns != spell) {
+    schedule(duration(absl::Uniform<std::int64_t>(random_, 0, 40'000)), [this, entry, spell] {
+        entry_slot& slow = entries_.at(static_cast<std::size_t>(entry));
+        if (slow.slow_turns != spell) {
             return;
         }
         pause_entry(entry);
-        later(duration(absl::Uniform<std::int64_t>(random_, 0, held.pause_most.count())),
-              [this, entry, spell] { take_turn(entry, spell); });
+        schedule(duration(absl::Uniform<std::int64_t>(random_, 0, slow.pause_most.count())),
+                 [this, entry, spell] { run_slow_turn(entry, spell); });
     });
 }
 
@@ -297,17 +301,17 @@
     return !table_down_ && (cut == cut_from_table_.end() || !cut->second);
 }
 
-// Pages share the entry's link: each takes as many times as long as there are others on their way, and one that takes
-// longer than an answer is waited for never arrives.
+// Sends one page over the entry's link. A page takes job_page_transfer_time times the number of pages in transfer; one
+// that would take longer than the page time-out is answered with an empty page.
 template <class Answer, class Done>
 void flow_simulation::read_over_link(int entry, const store_range& range, const Answer& answer, const Done& done)
 {
     ++pages_on_link_[entry];
-    later(options_.job_page_transfer_time, [this, entry, range, answer, done] {
+    schedule(options_.job_page_transfer_time, [this, entry, range, answer, done] {
         const duration takes = pages_on_link_[entry] * options_.job_page_transfer_time;
-        const duration left = std::min(takes, page_waited_for) - options_.job_page_transfer_time;
-        later(left, [this, entry] { --pages_on_link_[entry]; });
-        answer(done, takes > page_waited_for ? store_page{} : read(range), left);
+        const duration left = std::min(takes, page_timeout) - options_.job_page_transfer_time;
+        schedule(left, [this, entry] { --pages_on_link_[entry]; });
+        answer(done, takes > page_timeout ? store_page{} : read(range), left);
     });
 }
 
@@ -316,7 +320,7 @@
     const std::uint64_t life = entries_.at(static_cast<std::size_t>(entry)).life;
     flow_edges edges;
     const auto answer = [this, entry, life](auto done, auto result, duration wait) {
-        later(wait, [this, entry, life, done, result] {
+        schedule(wait, [this, entry, life, done, result] {
             on_entry(entry, life, [done, result](flow_entry&, instant now) { done(now, result); });
         });
     };
@@ -332,14 +336,14 @@
             return put.key.table == jobs_table && !is_fence(put.key);
         });
         if (of_row && row_write_delay_ > duration(0)) {
-            later(std::exchange(row_write_delay_, duration(0)), [this, t] { apply(t); });
+            schedule(std::exchange(row_write_delay_, duration(0)), [this, t] { apply(t); });
             answer(std::move(done), store_result{}, 1500ms);
             return;
         }
-        later(options_.table_latency, [this, entry, t, answer, done = std::move(done)] {
+        schedule(options_.table_latency, [this, entry, t, answer, done = std::move(done)] {
             store_result result = apply(t);
-            if (answers_to_lose_ > 0) {
-                --answers_to_lose_;
+            if (answers_to_drop_ > 0) {
+                --answers_to_drop_;
                 result = {};
                 answer(done, result, 1500ms);
                 return;
@@ -353,7 +357,7 @@
             answer(std::move(done), store_page{}, 1500ms);
             return;
         }
-        later(options_.table_latency, [this, entry, range, answer, done = std::move(done)] {
+        schedule(options_.table_latency, [this, entry, range, answer, done = std::move(done)] {
             if ((range.table == jobs_table || range.table == news_table) &&
                 options_.job_page_transfer_time > duration(0)) {
                 read_over_link(entry, range, answer, done);
@@ -363,7 +367,7 @@
         });
     };
     edges.watch = [this, entry, answer](const store_watch& watch, std::function<void(instant, store_page)> done) {
-        looks_at_jobs_[entry] += watch.table == news_table ? 1 : 0;
+        job_watch_counts_[entry] += watch.table == news_table ? 1 : 0;
         if (!table_reached(entry)) {
             answer(std::move(done), store_page{}, 1500ms);
             return;
@@ -386,7 +390,7 @@
                       [](const store_row& a, const store_row& b) { return a.version < b.version; });
             std::size_t shown = options_.watch_page_rows;
             while (shown < page.rows.size() && page.rows[shown].version == page.rows[shown - 1].version) {
-                ++shown; // rows of one transaction are not parted
+                ++shown; // rows of one transaction stay in one answer
             }
             page.more = shown < page.rows.size();
             page.rows.resize(shown);
@@ -395,54 +399,54 @@
     };
     edges.order = [this, entry, answer](const worker_place& to, const worker_order& order, duration timeout,
                                         std::function<void(instant, order_answer)> done) {
-        later(options_.network_latency + sending_delay(entry),
-              [this, to, order, timeout, answer, done = std::move(done)] {
-                  const auto at = std::find_if(workers_.begin(), workers_.end(),
-                                               [&](const auto& w) { return w->address == to.address; });
-                  if (at == workers_.end() || !(*at)->up || !(*at)->reachable) {
-                      const bool refused = options_.crash_refuses_connections && at != workers_.end() && !(*at)->up;
-                      answer(done, order_answer{}, refused ? options_.network_latency : timeout);
-                      return;
-                  }
-                  flow_fake_worker& w = **at;
-                  auto heard = [this, &w, life = w.id, done](instant then, const order_answer& given) {
-                      if (options_.heard_counts && w.id == life && w.up) {
-                          note_told(w, given);
-                      }
-                      done(then, given);
-                  };
-                  if (w.id != to.worker) {
-                      order_answer other;
-                      other.result = order_result::other_life;
-                      answer(done, other, options_.network_latency);
-                      return;
-                  }
-                  const auto* const hold = std::get_if<hold_worker>(&order);
-                  if (hold != nullptr && options_.holds_wait) {
-                      hold_until_end(w, w.id, *hold, now_ + hold->wait, [this, &w, life = w.id, order, answer, heard] {
-                          answer(heard, w.id == life ? carry_out(w, order) : order_answer{},
-                                 options_.network_latency + options_.hold_answer_delay);
-                      });
-                      return;
-                  }
-                  const duration wait = hold != nullptr ? std::min<duration>(hold->wait, 50ms) : duration(0);
-                  if (stops_lost_ && std::holds_alternative<stop_run>(order)) {
-                      answer(done, order_answer{}, timeout);
-                      return;
-                  }
-                  if (const auto delay = pick_delay(order)) {
-                      later(*delay, [this, &w, order, to] {
-                          if (w.id == to.worker) {
-                              carry_out(w, order, true);
-                          }
-                      });
-                      answer(done, order_answer{}, timeout);
-                      return;
-                  }
-                  const duration back =
-                      options_.network_latency + (hold != nullptr ? options_.hold_answer_delay : duration(0));
-                  later(wait, [this, &w, order, answer, heard, back] { answer(heard, carry_out(w, order), back); });
-              });
+        schedule(options_.network_latency + sending_delay(entry), [this, to, order, timeout, answer,
+                                                                   done = std::move(done)] {
+            const auto at =
+                std::find_if(workers_.begin(), workers_.end(), [&](const auto& w) { return w->address == to.address; });
+            if (at == workers_.end() || !(*at)->up || !(*at)->reachable) {
+                const bool refused = options_.crash_refuses_connections && at != workers_.end() && !(*at)->up;
+                answer(done, order_answer{}, refused ? options_.network_latency : timeout);
+                return;
+            }
+            flow_fake_worker& w = **at;
+            auto heard = [this, &w, life = w.id, done](instant then, const order_answer& given) {
+                if (options_.handled_ends_are_known && w.id == life && w.up) {
+                    record_reported_ends(w, given);
+                }
+                done(then, given);
+            };
+            if (w.id != to.worker) {
+                order_answer other;
+                other.result = order_result::other_life;
+                answer(done, other, options_.network_latency);
+                return;
+            }
+            const auto* const hold = std::get_if<hold_worker>(&order);
+            if (hold != nullptr && options_.holds_wait) {
+                hold_until_end(w, w.id, *hold, now_ + hold->wait, [this, &w, life = w.id, order, answer, heard] {
+                    answer(heard, w.id == life ? carry_out(w, order) : order_answer{},
+                           options_.network_latency + options_.hold_answer_delay);
+                });
+                return;
+            }
+            const duration wait = hold != nullptr ? std::min<duration>(hold->wait, 50ms) : duration(0);
+            if (drop_stops_ && std::holds_alternative<stop_run>(order)) {
+                answer(done, order_answer{}, timeout);
+                return;
+            }
+            if (const auto delay = pick_delay(order)) {
+                schedule(*delay, [this, &w, order, to] {
+                    if (w.id == to.worker) {
+                        carry_out(w, order, true);
+                    }
+                });
+                answer(done, order_answer{}, timeout);
+                return;
+            }
+            const duration back =
+                options_.network_latency + (hold != nullptr ? options_.hold_answer_delay : duration(0));
+            schedule(wait, [this, &w, order, answer, heard, back] { answer(heard, carry_out(w, order), back); });
+        });
     };
     edges.list_workers = [this, entry, answer](std::function<void(instant, std::optional<flow_worker_list>)> done) {
         std::optional<flow_worker_list> list;
@@ -463,41 +467,40 @@
                latency == options_.list_latency_by_entry.end() ? options_.list_latency : latency->second);
     };
     edges.watch_operator = [this, entry, life](row_version after, duration wait, const operator_done& done) {
-        look_at_operator(entry, life, after, wait, done);
+        start_operator_watch(entry, life, after, wait, done);
     };
     edges.parse_config = &read_config_text;
     edges.send_message = [this, entry, life,
                           answer](const net_address& peer, const wire::flow_message& message,
                                   std::function<void(instant, std::optional<wire::flow_message>)> done) {
-        later(options_.network_latency, [this, entry, life, peer, message, answer, done = std::move(done)] {
+        schedule(options_.network_latency, [this, entry, life, peer, message, answer, done = std::move(done)] {
             for (int i = 0; i < static_cast<int>(entries_.size()); ++i) {
                 entry_slot& slot = entries_[static_cast<std::size_t>(i)];
                 if (slot.identity.address != peer || !slot.decisions || cut_from_peers_[i] || cut_from_peers_[entry]) {
                     continue;
                 }
                 if (options_.link_bytes_per_s > 0) {
-                    tell_over_link(entry, life, i, message, done);
+                    send_over_link(entry, life, i, message, done);
                     return;
                 }
-                // Answered once, by the peer or by the time limit: it may be killed while it makes a call for the
-                // sender.
+                // `done` runs once, for the peer's reply or the time-out: the peer may be killed before it replies.
                 const auto answered = std::make_shared<bool>(false);
                 const auto answer_once = [this, answer, done, answered](std::optional<wire::flow_message> reply) {
                     if (!std::exchange(*answered, true)) {
                         answer(done, std::move(reply), options_.network_latency);
                     }
                 };
-                later(peer_waited_for, [answer_once] { answer_once(std::nullopt); });
+                schedule(peer_timeout, [answer_once] { answer_once(std::nullopt); });
                 on_entry(i, slot.life, [message, answer_once](flow_entry& e, instant now) {
                     e.on_message(now, message, answer_once);
                 });
                 return;
             }
-            answer(done, std::optional<wire::flow_message>(), peer_waited_for);
+            answer(done, std::optional<wire::flow_message>(), peer_timeout);
         });
     };
     edges.after = [this, entry, life](duration wait, std::function<void(instant)> what) {
-        later(wait, [this, entry, life, what = std::move(what)] {
+        schedule(wait, [this, entry, life, what = std::move(what)] {
             on_entry(
                 entry, life, [what](flow_entry&, instant now) { what(now); }, true);
         });
@@ -521,9 +524,9 @@
 
 // --- links ---
 
-// Given up whole when the last byte of the answer is not there in time.
-void flow_simulation::tell_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
-                                     const tell_done& done)
+// Sends a message to a peer over the simulated links. The exchange fails if the reply is not complete in time.
+void flow_simulation::send_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
+                                     const message_done& done)
 {
     struct exchange {
         bool over = false;
@@ -537,7 +540,7 @@
         links_.give_up(under_way->transfer);
         on_entry(entry, life, [done, answer](flow_entry&, instant now) { done(now, answer); });
     };
-    later(peer_waited_for, [end] { end(std::nullopt); });
+    schedule(peer_timeout, [end] { end(std::nullopt); });
     const auto reply = [this, entry, peer, under_way, end](const wire::flow_message& answer) {
         if (!under_way->over) {
             under_way->transfer =
@@ -564,8 +567,8 @@
     return page;
 }
 
-void flow_simulation::look_at_operator(int entry, std::uint64_t life, row_version after, duration wait,
-                                       const operator_done& done)
+void flow_simulation::start_operator_watch(int entry, std::uint64_t life, row_version after, duration wait,
+                                           const operator_done& done)
 {
     const bool first = after == row_version(0);
     const auto over = std::make_shared<bool>(false);
@@ -575,10 +578,10 @@
         }
     };
     if (!table_reached(entry)) {
-        later(first ? duration(10ms) : wait, [end] { end(operator_update{}); });
+        schedule(first ? duration(10ms) : wait, [end] { end(operator_update{}); });
         return;
     }
-    // One that has gone away meanwhile answers nothing.
+    // An entry that was cut off from the table in the meantime gets an empty update.
     const auto answer = [this, entry, after, over, end] {
         const operator_update page = table_reached(entry) ? read_operator(after) : operator_update{};
         if (*over || options_.link_bytes_per_s <= 0 || !page.config) {
@@ -595,23 +598,24 @@
             });
     };
     if (first || after < config_row_) {
-        later(10ms, answer);
+        schedule(10ms, answer);
         return;
     }
-    const std::int64_t look = ++last_look_;
-    operator_looks_.emplace(look, operator_look{entry, answer});
-    later(wait, [this, look] {
-        if (const auto at = operator_looks_.extract(look)) {
+    const std::int64_t look = ++last_watch_;
+    operator_watches_.emplace(look, pending_operator_watch{entry, answer});
+    schedule(wait, [this, look] {
+        if (const auto at = operator_watches_.extract(look)) {
             at.mapped().answer();
         }
     });
 }
 
-// An answer that bytes arrive of is not given up.
+// Calls `give_up` once the time-out has passed and the entry is cut off from the table, unless `over` is true by then.
+// While the table can be reached, the answer still makes progress and the time-out starts again.
 void flow_simulation::give_up_stalled(int entry, const std::function<bool()>& over,
                                       const std::function<void()>& give_up)
 {
-    later(look_waited_for, [this, entry, over, give_up] {
+    schedule(watch_timeout, [this, entry, over, give_up] {
         if (over()) {
             return;
         }
@@ -623,10 +627,10 @@
     });
 }
 
-void flow_simulation::answer_looks()
+void flow_simulation::answer_operator_watches()
 {
-    for (const auto& [id, look] : std::exchange(operator_looks_, {})) {
-        later(options_.network_latency, look.answer);
+    for (const auto& [id, look] : std::exchange(operator_watches_, {})) {
+        schedule(options_.network_latency, look.answer);
     }
 }
 
@@ -634,14 +638,14 @@
 {
     config_row_ = row_version(config_row_.value() + 1);
     config_text_ = write_config_text(config_row_.value(), queues, bytes);
-    answer_looks();
+    answer_operator_watches();
 }
 
 void flow_simulation::write_unreadable_config()
 {
     config_row_ = row_version(config_row_.value() + 1);
     config_text_ = "unreadable";
-    answer_looks();
+    answer_operator_watches();
 }
 
 // --- the table ---
@@ -711,7 +715,7 @@
     const auto at = w.running.find(task);
     w.highest[task] = std::max(w.highest[task], at->second.number);
     w.ends.push_back({end_number(++w.last_end), task, at->second.number, how, ""});
-    done_[task] += how == run_end::done ? 1 : 0;
+    done_counts_[task] += how == run_end::done ? 1 : 0;
     if (how == run_end::done) {
         ever_done_.insert(task);
     }
@@ -724,7 +728,7 @@
     }
 }
 
-// The task's step when it is a gang whose members wait for each other; else null.
+// Returns the task's step if its members wait for each other (gang_start_barrier), otherwise null.
 const flow_step* flow_simulation::waiting_step(const flow_task_id& task) const
 {
     const auto spec = specs_.find(task.job.str());
@@ -735,7 +739,7 @@
     return step.gang ? &step : nullptr;
 }
 
-// Every member sets to work once the last of them is there.
+// Lets all members of a gang's run begin to work, once the last of them has started.
 void flow_simulation::begin_gang(const flow_task_id& task, run_number run)
 {
     std::vector<flow_fake_worker::run*> members;
@@ -756,7 +760,8 @@
     }
 }
 
-// What was at work with it ends as it did if it is done, else broken; what waits for it goes on waiting.
+// Ends the working members of a gang's run after one member has ended: as `done` if that member is done, otherwise as
+// `broken`. Members that still wait for the gang keep waiting.
 void flow_simulation::end_gang(const flow_task_id& task, run_number run, run_end how)
 {
     for (const auto& w : workers_) {
@@ -770,12 +775,13 @@
     }
 }
 
-// Ends that nobody has confirmed when the worker's lease ends, or the worker dies, need not be known to anybody.
+// Marks ends that were never reported as lost, when the worker's lease ends or the worker crashes: their tasks may run
+// again without a violation.
 void flow_simulation::forget_unconfirmed(flow_fake_worker& w)
 {
     for (const reported_end& end : w.ends) {
         if (end.how == run_end::done && w.told.count(end.number) == 0 && w.forgotten.insert(end.number).second) {
-            --done_[end.task];
+            --done_counts_[end.task];
         }
     }
 }
@@ -792,7 +798,7 @@
     for (const flow_task_id& task : over) {
         const auto at = w.running.find(task);
         if (at == w.running.end()) {
-            continue; // it ended with another member of its gang
+            continue; // ended with another member of its gang, in this loop
         }
         const flow_fake_worker::run& run = at->second;
         if (run.stops < std::min(run.ends, run.waits_until)) {
@@ -801,7 +807,7 @@
         }
         if (run.waits_until != instant::max()) {
             if (!options_.gang_timeouts_allowed) {
-                fault(text_of(task) + " waited for its gang in vain");
+                record_violation(text_of(task) + " timed out waiting for its gang");
             }
             end_run(w, task, run_end::alone);
             continue;
@@ -822,7 +828,7 @@
         --starts_to_delay_;
         return start_delay_;
     }
-    if (late_share_ > 0 && absl::Uniform(random_, 0.0, 1.0) < late_share_) {
+    if (delayed_order_share_ > 0 && absl::Uniform(random_, 0.0, 1.0) < delayed_order_share_) {
         return 2s + std::chrono::duration_cast<duration>(
                         std::chrono::duration<double>(10 * absl::Uniform(random_, 0.0, 1.0)));
     }
@@ -832,17 +838,17 @@
 void flow_simulation::hold_until_end(flow_fake_worker& w, const worker_id& life, const hold_worker& order,
                                      instant until, const std::function<void()>& answer)
 {
-    constexpr duration look = 10ms;
+    constexpr duration poll_interval = 10ms;
     advance_worker(w);
     const bool ended = !w.ends.empty() && w.ends.back().number > order.confirmed;
     if (now_ >= until || ended || !w.up || w.id != life || order.fence < w.fence) {
         answer();
         return;
     }
-    later(look, [this, &w, life, order, until, answer] { hold_until_end(w, life, order, until, answer); });
+    schedule(poll_interval, [this, &w, life, order, until, answer] { hold_until_end(w, life, order, until, answer); });
 }
 
-void flow_simulation::note_told(flow_fake_worker& w, const order_answer& answer)
+void flow_simulation::record_reported_ends(flow_fake_worker& w, const order_answer& answer)
 {
     for (const reported_end& end : answer.ends) {
         if (w.forgotten.count(end.number) == 0) {
@@ -921,8 +927,8 @@
     const auto spec = specs_.find(order.task.job.str());
     const bool lasting =
         spec != specs_.end() && spec->second.steps.at(static_cast<std::size_t>(order.task.step)).lasting;
-    const duration sound = options_.run_time ? options_.run_time(order.task) : duration(300ms);
-    const duration takes(static_cast<std::int64_t>(static_cast<double>(sound.count()) * w.slowness));
+    const duration normal_time = options_.run_time ? options_.run_time(order.task) : duration(300ms);
+    const duration takes(static_cast<std::int64_t>(static_cast<double>(normal_time.count()) * w.slowness));
     run.begun = now_;
     run.late = late;
     run.ends = lasting ? instant::max() : now_ + takes;
@@ -934,7 +940,7 @@
     run.takes = takes;
     const bool waits = waiting_step(order.task) != nullptr;
     if (waits) {
-        run.waits_until = now_ + gang_patience;
+        run.waits_until = now_ + gang_timeout;
         run.ends = instant::max();
     }
     w.running[order.task] = run;
@@ -943,8 +949,9 @@
     }
     if (options_.worker_crash_delay) {
         if (const auto after = options_.worker_crash_delay(order.task, order)) {
-            later(*after,
-                  [this, &w, life = w.id, task = order.task, number = order.run] { crash_by(w, life, task, number); });
+            schedule(*after, [this, &w, life = w.id, task = order.task, number = order.run] {
+                crash_by(w, life, task, number);
+            });
         }
     }
     ++w.starts;
@@ -969,8 +976,8 @@
         answer.running.push_back({task, run.number, "", static_cast<std::int32_t>(done), 0});
     }
     answer.ends = w.ends;
-    if (options_.told_counts) {
-        note_told(w, answer);
+    if (options_.sent_ends_are_known) {
+        record_reported_ends(w, answer);
     }
     return answer;
 }
@@ -995,19 +1002,19 @@
     return at == crashes_under_.end() ? 0 : at->second;
 }
 
-void flow_simulation::set_worker_capacity(int worker, resources room, duration told_after)
+void flow_simulation::set_worker_capacity(int worker, resources room, duration listed_after)
 {
     flow_fake_worker& w = *workers_.at(static_cast<std::size_t>(worker));
-    w.rooms_before.emplace_back(now_ + options_.shrunk_room_grace, w.room);
-    w.room_told = w.room_told.value_or(w.room);
+    w.earlier_rooms.emplace_back(now_ + options_.shrunk_room_grace, w.room);
+    w.listed_room = w.listed_room.value_or(w.room);
     w.room = room;
-    later(told_after, [&w, room] { w.room_told = room; });
+    schedule(listed_after, [&w, room] { w.listed_room = room; });
 }
 
 void flow_simulation::crash(flow_fake_worker& w, std::optional<duration> away)
 {
     if (!w.up) {
-        return; // it would begin its next life twice, the second time with the runs and ends of the first
+        return; // a second crash would start the next life twice and mix its runs with those of the first
     }
     advance_worker(w);
     w.up = false;
@@ -1023,7 +1030,7 @@
     w.forgotten.clear();
     w.told.clear();
     if (away) {
-        later(*away, [this, &w] { start_next_life(w); });
+        schedule(*away, [this, &w] { start_next_life(w); });
     }
 }
 
@@ -1046,9 +1053,9 @@
         return;
     }
     w.draining = true;
-    later(drain, [this, worker, gap, &w] {
+    schedule(drain, [this, worker, gap, &w] {
         crash_worker(worker, false);
-        later(gap, [this, &w] { start_next_life(w); });
+        schedule(gap, [this, &w] { start_next_life(w); });
     });
 }
 
@@ -1060,7 +1067,7 @@
     row.service_name = "service";
     row.cell = cell.str();
     row.cell_epoch = 1;
-    row.failures_most = failures_most;
+    row.failures_most = max_failures;
     ++version_;
     rows_[index_key(job_id(job))] = {encode_compact(row), row_version(version_)};
     rows_[job_row_key(accepted_row(cell, job_id(job)))] = {encode_compact(row), row_version(version_)};
@@ -1156,11 +1163,11 @@
     }
 }
 
-// --- promises ---
+// --- invariants ---
 
-void flow_simulation::fault(const std::string& what)
+void flow_simulation::record_violation(const std::string& what)
 {
-    faults_.push_back(
+    violations_.push_back(
         fmt::format("{:.3f} s: {}", std::chrono::duration<double>(now_.time_since_epoch()).count(), what));
 }
 
@@ -1169,50 +1176,50 @@
     const flow_task_id& task = order.task;
     const auto spec = specs_.find(task.job.str());
     if (spec == specs_.end() || spec->second.payload != order.payload) {
-        fault(text_of(task) + " was never submitted so");
+        record_violation(text_of(task) + " was started with a payload that was not submitted");
         return;
     }
     const flow_step& step = spec->second.steps.at(static_cast<std::size_t>(task.step));
     for (const auto& other : workers_) {
         advance_worker(*other);
         if (other->up && other->running.count(task) != 0 && !step.speculative) {
-            fault(text_of(task) + " runs twice at the same time");
+            record_violation(text_of(task) + " runs twice at the same time");
         }
     }
-    if (done_[task] > 0) {
-        fault(text_of(task) + " started after it was done");
+    if (done_counts_[task] > 0) {
+        record_violation(text_of(task) + " started after it was done");
     }
-    if (failed_[task] >= failures_most && !step.lasting) {
-        fault(text_of(task) + " started after it had failed for the last time");
+    if (failed_[task] >= max_failures && !step.lasting) {
+        record_violation(text_of(task) + " started after it had failed for the last time");
     }
-    if (crash_count_of(task) >= crashes_most && !late && ++starts_after_crashes_[task] > starts_after_most) {
-        fault(text_of(task) + " started three times more after three workers had crashed under it");
+    if (crash_count_of(task) >= max_crashes && !late && ++starts_after_crashes_[task] > max_starts_after_crashes) {
+        record_violation(text_of(task) + " started three times more after three workers had crashed under it");
     }
     if (cancelled_.count(task.job.str()) != 0 && !late) {
-        fault(text_of(task) + " started after its job was cancelled");
+        record_violation(text_of(task) + " started after its job was cancelled");
     }
     for (const std::int32_t earlier : step.after) {
         for (int i = 0; i < spec->second.steps.at(static_cast<std::size_t>(earlier)).count; ++i) {
             if (ever_done_.count({task.job, task.occurrence, earlier, i}) == 0) {
-                fault(text_of(task) + " started before an earlier step was done");
+                record_violation(text_of(task) + " started before an earlier step was done");
                 return;
             }
         }
     }
-    resources held = step.need;
+    resources needed = step.need;
     for (const auto& [other, run] : w.running) {
-        held = held + run.need;
+        needed = needed + run.need;
     }
     resources room = w.room;
-    for (const auto& [until, before] : w.rooms_before) {
+    for (const auto& [until, before] : w.earlier_rooms) {
         room = now_ < until ? larger(room, before) : room;
     }
-    if (!fits(held, room)) {
-        fault(text_of(task) + " goes over the room of " + w.id.str());
+    if (!fits(needed, room)) {
+        record_violation(text_of(task) + " exceeds the capacity of " + w.id.str());
     }
 }
 
-// Tasks of cancelled jobs that go on, whether they were started before or late.
+// Records tasks that run on too long after their job was cancelled, including those started late by a delayed order.
 void flow_simulation::check_cancelled()
 {
     for (const auto& w : workers_) {
@@ -1223,14 +1230,15 @@
         for (auto& [task, run] : w->running) {
             const auto cancelled = cancelled_.find(task.job.str());
             if (cancelled != cancelled_.end() &&
-                now_ > std::max({run.begun, cancelled->second, impaired_at_ + calm_after}) + cancelled_run_most) {
-                fault(text_of(task) + " goes on after its job was cancelled" + (run.late ? ", started late" : ""));
-                run.begun = now_; // said once, and again if it goes on
+                now_ > std::max({run.begun, cancelled->second, last_kill_ + recovery_time}) + max_cancelled_run_time) {
+                record_violation(text_of(task) + " goes on after its job was cancelled" +
+                                 (run.late ? ", started late" : ""));
+                run.begun = now_; // reports the task again only after another full time limit
             }
         }
     }
     if (!cancelled_.empty()) {
-        later(check_interval, [this] { check_cancelled(); });
+        schedule(check_interval, [this] { check_cancelled(); });
     }
 }
 
@@ -1263,7 +1271,7 @@
 
 caller_result flow_simulation::cancel(int entry, const std::string& job)
 {
-    // Kept alive by the reply, which may come after this call has given up.
+    // Shared with the reply, which may come after this function has returned.
     const auto result = std::make_shared<std::optional<caller_result>>();
     caller_request request;
     request.verb = caller_verb::cancel;
@@ -1274,7 +1282,7 @@
     });
     run_until([&] { return result->has_value(); }, 4s);
     if (*result == caller_result::cancelled) {
-        later(3s, [this, job] {
+        schedule(3s, [this, job] {
             cancelled_.emplace(job, now_ - 3s);
             if (cancelled_.size() == 1) {
                 check_cancelled();
@@ -1351,7 +1359,7 @@
             w.address,
             w.data_centre,
             "service",
-            w.room_told.value_or(w.room),
+            w.listed_room.value_or(w.room),
             w.labels,
             rack_id(w.labels.back()),
             w.draining};
@@ -1365,8 +1373,8 @@
 
 std::int64_t flow_simulation::job_watch_count(int entry) const
 {
-    const auto at = looks_at_jobs_.find(entry);
-    return at == looks_at_jobs_.end() ? 0 : at->second;
+    const auto at = job_watch_counts_.find(entry);
+    return at == job_watch_counts_.end() ? 0 : at->second;
 }
 
 int flow_simulation::count_owners(const std::string& cell) const
--- a/tests/support_flow_simulation.h
+++ b/tests/support_flow_simulation.h
@@ -1,5 +1,12 @@
-// Entries with the product's own flow decisions around a fake table and fake workers, in virtual time. Carries what
-// they ask for, with latencies and faults, and watches the promises from the workers' side.
+// Simulates a site in virtual time: entries that run the product's own flow_entry, a simulated table and simulated
+// workers. Delivers messages with latencies and injected faults, and records violations of the scheduler's invariants
+// as the workers see them (for example a task that runs twice at the same time).
+//
+// Terms: an entry accepts jobs and may own cells; a cell is a group of workers that one entry at a time schedules. An
+// order is a command from an owner to a worker. A hold is the order that renews a worker's lease and returns its runs
+// and unconfirmed ends. A gang is a step whose tasks run at the same time. A lasting task has no end of its own; a
+// filling task is deferrable work. A life is one process of a worker or entry, from its start to its exit. News rows
+// are the rows that announce jobs to the owners of cells. The room of a worker is its capacity.
 #pragma once
 
 #include <functional>
@@ -16,43 +23,45 @@
 
 namespace skylarkhub::test {
 
-// What truly runs and ran on one worker.
+// State of one simulated worker, independent of what the entries know about it.
 struct flow_fake_worker {
     worker_id id;
     net_address address;
     data_centre_id data_centre;
     resources room{16000, 64000, 0};
-    std::optional<resources> room_told;                      // by the list, since it has changed
-    std::vector<std::pair<instant, resources>> rooms_before; // that starts may still fill, and until when
+    std::optional<resources> listed_room; // capacity in the worker list, once it differs from `room`
+    // Earlier capacities that starts may still use, each with the time until which they may.
+    std::vector<std::pair<instant, resources>> earlier_rooms;
     std::vector<std::string> labels{"a", "rack-1"};
     bool up = true;
     bool listed = true;
     bool draining = false;
-    bool reachable = true;          // its orders and answers pass
-    bool listing_malformed = false; // another writer has made its entry in the list unreadable
-    double slowness = 1;            // what starts from now on takes this much longer
+    bool reachable = true;          // orders reach the worker and its answers reach the entries
+    bool listing_malformed = false; // the worker list has an unreadable item for this worker
+    double slowness = 1;            // factor on the run time of tasks started from now on
     duration clock_offset{0};
     epoch fence;
     instant lease_until{};
-    std::map<flow_task_id, run_number> highest; // stopped or ended; a run not above it is refused
+    std::map<flow_task_id, run_number> highest; // last stopped or ended run; starts up to it are refused
     struct run {
         run_number number;
         std::string payload;
         instant begun{};
         instant ends{};
-        duration takes{0}; // from when it is at work
+        duration takes{0}; // run time, counted from when the run begins to work
         bool fails = false;
         resources need;
         bool filling = false;
         std::int32_t percent = 100;
-        bool late = false;                    // its order was carried out long after it was sent
-        instant waits_until = instant::max(); // for the other members of its gang; max: it is at work
-        instant stops{instant::max()};        // it was told to, and takes its time
+        bool late = false;                    // the start order was executed long after it was sent
+        instant waits_until = instant::max(); // limit of the wait for the gang; max: not waiting
+        instant stops{instant::max()};        // end of a stop that takes time; max: no stop
     };
     std::map<flow_task_id, run> running;
     std::vector<reported_end> ends;
-    std::set<end_number> forgotten; // of `ends`: need not be known to anybody
-    std::set<end_number> told;      // of `ends`: an answer that lists them has left for an entry
+    // Numbers in `ends` that were lost with the lease or the worker: their tasks may run again.
+    std::set<end_number> forgotten;
+    std::set<end_number> told; // numbers in `ends` that an answer to an entry has listed
     std::int64_t last_end = 0;
     std::int64_t starts = 0;
 };
@@ -61,72 +70,78 @@
 public:
     struct options {
         std::uint64_t seed = 1;
-        bool verbose = false; // prints what the entries log
+        bool verbose = false; // prints the log lines of the entries
         std::vector<std::string> data_centres{"a"};
         int entries_per_data_centre = 2;
         int workers_per_data_centre = 3;
-        int rack_size = 0;         // workers of a data centre in one rack; 0: all
-        std::vector<double> cores; // of the entries of a data centre, in turn; empty: 1
+        int rack_size = 0;         // workers per rack; 0: one rack per data centre
+        std::vector<double> cores; // per entry of a data centre, repeated; empty: 1 each
         std::int64_t worker_cpu_millis = 16000;
         duration table_latency = std::chrono::milliseconds(8);
         duration network_latency = std::chrono::milliseconds(2);
-        // Of each entry's link, which messages between entries and configurations share; 0: they take no time.
+        // Bandwidth of each entry's link for messages between entries and for configurations; 0: unlimited.
         double link_bytes_per_s = 0;
-        duration job_page_transfer_time{0}; // over the entry's link, for each page at a time
-        // That one look at changes shows, the oldest, with the table's newest version; 0: all.
+        duration job_page_transfer_time{0}; // of one page of jobs that has the entry's link to itself
+        // Most rows in one answer to a watch: the oldest changes, with the table's newest version. 0: all rows.
         std::size_t watch_page_rows = 0;
-        duration list_latency = std::chrono::milliseconds(100);         // of the list of workers
-        std::map<int, duration> list_latency_by_entry;                  // of entries for which it is another
-        std::function<bool(const flow_task_id&, run_number)> run_fails; // empty: none fails
+        duration list_latency = std::chrono::milliseconds(100);         // for reading the worker list
+        std::map<int, duration> list_latency_by_entry;                  // for entries, by number, with another latency
+        std::function<bool(const flow_task_id&, run_number)> run_fails; // empty: no run fails
         std::function<duration(const flow_task_id&)> run_time;          // empty: 300 ms
-        bool gang_start_barrier = false; // for all members of a run, on all workers, and end with the first that ends
-        bool gang_timeouts_allowed = false; // a member that waited in vain is no fault: something was impaired
-        duration stop_time{0};              // that a stop takes
-        // How long after its start the task crashes its worker, without a trace; empty: it does not.
+        // The members of a gang begin to work together, on all workers, and end with the first member that ends.
+        bool gang_start_barrier = false;
+        // A member may time out waiting for its gang; set by tests that inject faults during the wait.
+        bool gang_timeouts_allowed = false;
+        duration stop_time{0}; // from a stop order to the end of the run
+        // Delay from a task's start until it crashes its worker, which then reports no end; empty: no crash.
         std::function<std::optional<duration>(const flow_task_id&, const start_run&)> worker_crash_delay;
-        duration crash_restart_delay = std::chrono::seconds(1); // until a crashed worker's next life begins
-        // Until starts are checked against a room that has shrunk: for it to be told, and heard.
+        duration crash_restart_delay = std::chrono::seconds(1); // from a crash by a task to the next life
+        // Starts may use the earlier capacity for this long after it shrank: the list has to show the change, and
+        // the owner has to read the list.
         duration shrunk_room_grace = std::chrono::milliseconds(4500);
-        bool crash_refuses_connections =
-            false; // connections to a crashed worker fail at once; else nothing answers there
-        // An end counts as known for good once an answer that lists it has left, whether or not it is confirmed. The
-        // rules hold this against an owner that is just slow; where answers are lost and entries killed, they don't.
-        // `heard_counts`: only from when the entry has handled that answer.
-        bool told_counts = false;
-        bool heard_counts = false;
-        duration hold_answer_delay{
-            0};                  // of the answers to exchanges, on top of the latency: other answers overtake them
-        bool holds_wait = false; // for an end, as long as the order allows; else 50 ms, which takes less to play
+        // Connections to a crashed worker fail at once; otherwise orders to it time out.
+        bool crash_refuses_connections = false;
+        // Restarting a task after a worker's answer has listed its end is a violation, even if the end was never
+        // confirmed. `sent_ends_are_known` applies from when the answer is sent, `handled_ends_are_known` from when the
+        // entry handles it. Only for tests with slow owners: where answers are lost or entries killed, such a restart
+        // is allowed.
+        bool sent_ends_are_known = false;
+        bool handled_ends_are_known = false;
+        // Added to the latency of answers to holds, so that other answers overtake them.
+        duration hold_answer_delay{0};
+        // Holds wait for the end of a run as long as the order allows; otherwise 50 ms at most, to simulate faster.
+        bool holds_wait = false;
     };
     explicit flow_simulation(options o);
     ~flow_simulation();
 
     instant now() const { return now_; }
     void run_for(duration d);
+    // Runs until `done` returns true, for at most `most`. Returns whether `done` became true.
     bool run_until(const std::function<bool()>& done, duration most);
 
-    // --- what callers do; through entry `entry` ---
+    // --- requests of callers, sent to entry number `entry` ---
     caller_result submit(int entry, const std::string& job, const flow_spec& spec, const std::string& queue = "q");
     caller_result cancel(int entry, const std::string& job);
     std::optional<flow_state> state(int entry, const std::string& job);
-    // The number of jobs that wait, as the entry says; -1: it did not answer.
+    // Returns the entry's count of waiting jobs; -1: no answer with a count within 4 s.
     std::int64_t pending(int entry);
-    // Asks the same and does not wait; an entry that is killed meanwhile tells nothing.
+    // Requests the count of waiting jobs without waiting. An entry that is killed first never calls `told`.
     void ask_pending(int entry, std::function<void(const caller_answer&)> told);
-    // Sends and does not wait; the answer is noted in answers().
+    // Submits a job without waiting for the answer, which is added to answers().
     void send_submit(int entry, const std::string& job, const flow_spec& spec, const std::string& queue = "q");
     const std::map<std::string, std::vector<caller_result>>& answers() const { return answers_; }
 
     // --- faults ---
     void kill_entry(int entry);
-    // The entry stands still: what reaches it meanwhile, its own timers too, it handles when it goes on, in the order
-    // in which it came or the newest first.
+    // Pauses the entry's processing. Messages and timers that come due are queued until resume_entry(), which handles
+    // them in order of arrival or newest first.
     void pause_entry(int entry);
     void resume_entry(int entry, bool newest_first = false);
-    // Its own timers get their turn, while answers still wait.
-    void let_timers(int entry);
-    // From now on the entry gets its processor in turns, up to `pause_most` apart: what reached it since the last one
-    // it handles at once, timers and answers in any order, and its orders leave late. 0: it is as quick as any again.
+    // Handles the queued timers of a paused entry; its queued answers stay queued.
+    void run_timers_only(int entry);
+    // Simulates a process that is short of processor time: the entry is paused again and again, for up to `pause_most`
+    // each time, then handles its queued timers and answers in random order, and sends its orders late. 0 ends this.
     void inject_entry_pauses(int entry, duration pause_most);
     void start_entry(int entry);
     void shut_down_entry(int entry);
@@ -134,92 +149,93 @@
     void set_table_latency(duration latency) { options_.table_latency = latency; }
     void cut_entry_from_table(int entry, bool cut) { cut_from_table_[entry] = cut; }
     void cut_entry_from_peers(int entry, bool cut) { cut_from_peers_[entry] = cut; }
-    void drop_next_table_answers(int n) { answers_to_lose_ = n; }
-    // The table discards its history: an entry that asks for changes next has to read the rows anew.
+    void drop_next_table_answers(int n) { answers_to_drop_ = n; }
+    // The table discards its change history: each entry's next watch of jobs is answered with history_compacted, and
+    // the entry has to read all rows again.
     void discard_change_history() { ++history_; }
-    // The next write of a job's row by its owner gets no answer and comes into force after `d`.
+    // The next write of a job row by an owner gets no answer and is applied after `d`.
     void delay_next_row_write(duration d) { row_write_delay_ = d; }
-    // From now on this share of the orders to workers gets no answer and is carried out 2 to 12 s later.
-    void delay_orders(double share) { late_share_ = share; }
-    // The next starts get no answer and are carried out after `d`.
+    // From now on this share of the orders to workers gets no answer and is executed 2 to 12 s later.
+    void delay_orders(double share) { delayed_order_share_ = share; }
+    // The next `n` start orders get no answer and are executed after `d`.
     void delay_next_starts(int n, duration d)
     {
         starts_to_delay_ = n;
         start_delay_ = d;
     }
-    // While set, workers refuse starts for want of room.
+    // While set, workers refuse starts with order_result::no_room.
     void refuse_starts(bool refused) { starts_refused_ = refused; }
-    // While set, stops get no answer and are not carried out.
-    void drop_stop_orders(bool lost) { stops_lost_ = lost; }
-    // What another writer has put into the list of workers.
+    // While set, stop orders get no answer and are not executed.
+    void drop_stop_orders(bool lost) { drop_stops_ = lost; }
+    // Adds items to the worker list that belong to no simulated worker.
     void add_foreign_listing(flow_listed_worker entry) { foreign_.workers.push_back(std::move(entry)); }
     void add_unusable_listing(flow_unusable_entry entry) { foreign_.unusable.push_back(std::move(entry)); }
     flow_listed_worker listing_of(int worker) const;
     void crash_worker(int worker, bool comes_back);
-    // How often the task has crashed its worker.
+    // Returns how often the task has crashed its worker.
     int crash_count_of(const flow_task_id& task) const;
-    // The room changes now; what the list says of it follows `told_after` later.
-    void set_worker_capacity(int worker, resources room, duration told_after);
-    // It says that it leaves, serves for `drain` and exits; `gap` later another life starts at its address.
+    // Changes the worker's capacity now, and its capacity in the worker list after `listed_after`.
+    void set_worker_capacity(int worker, resources room, duration listed_after);
+    // The worker is listed as draining, exits after `drain`, and its next life starts at its address `gap` later.
     void replace_worker(int worker, duration drain, duration gap);
-    // A job in the table that no owner has been told of, and an end `done` of one of its tasks, as an earlier owner of
-    // the cell leaves them.
+    // Writes a job to the table without announcing it to an owner, as an earlier owner of the cell may leave it.
     void insert_unannounced_job(const std::string& job, const cell_id& cell, const flow_spec& spec);
-    // A row as some entry has written it.
+    // Writes a job row directly, as an entry would.
     void put_job_row(const job_row_name& name, const wire::flow_job_row& row);
-    // A job as a release left it that kept one row a job.
+    // Writes a job in the layout of earlier releases, which had one row per job.
     void put_legacy_job(const std::string& job);
     void remove_legacy_job(const std::string& job);
-    // Puts bytes in a row's place that nobody can read.
+    // Replaces the row's value by bytes that do not decode.
     void corrupt_row(const job_row_name& name);
-    // How many rows tell owners of the job.
+    // Counts the job's rows that owners read (owner rows and news rows).
     std::int64_t count_owner_rows(const std::string& job) const;
-    // As the table has it; 0: the job has not ended.
+    // Returns the job's outcome in the table; 0: the job has not ended.
     std::int32_t stored_outcome(const std::string& job) const;
+    // Adds a run that is done, of a job from insert_unannounced_job().
     void end_unannounced_run(int worker, const flow_task_id& task, run_number run);
-    // A run of such a job that goes on.
+    // Adds a run in progress, of a job from insert_unannounced_job().
     void start_unannounced_run(int worker, const flow_task_id& task, run_number run, duration takes);
-    // The operator writes a configuration with these queues, padded to `bytes`. Versions count from 1, which has `q`.
+    // Publishes the operator's next configuration, with these queues, padded to `bytes`. Version 1 has the queue `q`.
     void write_config(const std::vector<std::string>& queues, std::size_t bytes);
-    // One that no entry can read.
+    // Publishes a configuration that entries cannot parse.
     void write_unreadable_config();
-    // Leaves out of all rows of jobs, and of cells, what an earlier release does not know: where tasks were started.
+    // Removes from all job and cell rows the record of where tasks were started, which earlier releases did not write.
     void strip_start_records();
-    // Ends a run by its own fault, wherever it is.
+    // Fails the task's run on every worker that has one.
     void fail_run(const flow_task_id& task);
     flow_fake_worker& worker(int n) { return *workers_.at(static_cast<std::size_t>(n)); }
     int worker_count() const { return static_cast<int>(workers_.size()); }
     flow_entry* entry(int n) { return entries_.at(static_cast<std::size_t>(n)).decisions.get(); }
-    // One more, listed from now on; its number.
+    // Adds a worker that is listed from now on, and returns its number.
     int add_worker(const std::string& data_centre, const std::string& rack);
     void set_worker_unlisted(int worker, bool drop) { workers_.at(static_cast<std::size_t>(worker))->listed = !drop; }
 
-    // --- what was seen ---
-    // Broken promises, in words; empty when none.
-    const std::vector<std::string>& invariant_violations() const { return faults_; }
-    // Over its link, so far.
+    // --- observations ---
+    // Descriptions of the invariant violations so far.
+    const std::vector<std::string>& invariant_violations() const { return violations_; }
+    // Bytes sent to the entry over its link so far.
     double bytes_to(int entry) const { return links_.bytes_to(entry); }
-    // How often the entry has asked the table for changes of jobs.
+    // Number of watches of job changes that the entry has sent to the table.
     std::int64_t job_watch_count(int entry) const;
     std::int64_t count_log_events(const std::string& subject, const std::string& event) const;
     std::int64_t count_job_starts(const std::string& job) const;
     std::int64_t count_running_tasks(const std::string& job) const;
     std::int64_t count_all_running_tasks() const;
     int count_owners(const std::string& cell) const;
-    // Writes to the table that were applied, to rows of jobs.
+    // Number of transactions with job rows that the table has applied.
     std::int64_t job_writes() const { return job_writes_; }
-    // Writes to them that were refused, since a row was not as the writer knew it.
+    // Number of owners' job transactions that the table refused because a row had another version than expected.
     std::int64_t job_write_conflicts() const { return job_writes_refused_; }
-    // Rows of jobs and news of them that entries have read, looks at changes aside.
+    // Number of job and news rows that entries have read, except by watches.
     std::int64_t job_rows_read() const { return job_rows_read_; }
 
 private:
-    std::map<int, std::int64_t> looks_at_jobs_;
+    std::map<int, std::int64_t> job_watch_counts_;
     struct stored {
         std::string value;
         row_version version;
     };
-    struct missed_event {
+    struct deferred_event {
         bool timer = false;
         std::function<void()> handle;
     };
@@ -229,52 +245,65 @@
         std::uint64_t life = 0;
         int starts = 0;
         bool frozen = false;
-        std::vector<missed_event> missed; // while it stood still
-        duration pause_most{0};           // of a slow one
-        std::uint64_t slow_turns = 0;     // the ones planned for an earlier spell of slowness are not taken
+        std::vector<deferred_event> deferred; // while the entry was paused
+        duration pause_most{0};               // set by inject_entry_pauses(); 0: none
+        // Number of inject_entry_pauses() calls; turns planned by earlier calls do nothing.
+        std::uint64_t slow_turns = 0;
     };
-    void take_turn(int entry, std::uint64_t spell);
-    void later(duration d, std::function<void()> what);
+    // Lets a slowed entry process its queue, then pauses it again. `spell` is slow_turns at the time of planning.
+    void run_slow_turn(int entry, std::uint64_t spell);
+    // Calls `what` after `d` of virtual time.
+    void schedule(duration d, std::function<void()> what);
+    // Calls `what` on the entry if its life is still `life`; defers the call while the entry is paused.
     void on_entry(int entry, std::uint64_t life, const std::function<void(flow_entry&, instant)>& what,
                   bool timer = false);
+    // Returns a random extra delay for an order of a slowed entry; 0 for other entries.
     duration sending_delay(int entry);
+    // Ends the worker's life without reporting its runs. `away` is the delay until its next life; empty: none.
     void crash(flow_fake_worker& w, std::optional<duration> away);
+    // Crashes the worker on behalf of a task, if that run still runs in that life.
     void crash_by(flow_fake_worker& w, const worker_id& life, const flow_task_id& task, run_number run);
     void start_next_life(flow_fake_worker& w);
+    // Returns the functions through which the entry reaches the table, workers, peers, timers and the log.
     flow_edges make_edges(int entry);
     bool table_reached(int entry) const;
-    // A look for changes that waits for one.
-    struct operator_look {
+    // An entry's watch of the operator's configuration that waits for a change.
+    struct pending_operator_watch {
         int entry = 0;
         std::function<void()> answer;
     };
     using operator_done = std::function<void(instant, operator_update)>;
-    using tell_done = std::function<void(instant, std::optional<wire::flow_message>)>;
-    void look_at_operator(int entry, std::uint64_t life, row_version after, duration wait, const operator_done& done);
-    void tell_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
-                        const tell_done& done);
+    using message_done = std::function<void(instant, std::optional<wire::flow_message>)>;
+    void start_operator_watch(int entry, std::uint64_t life, row_version after, duration wait,
+                              const operator_done& done);
+    void send_over_link(int entry, std::uint64_t life, int peer, const wire::flow_message& message,
+                        const message_done& done);
     operator_update read_operator(row_version after) const;
-    void answer_looks();
+    void answer_operator_watches();
     void give_up_stalled(int entry, const std::function<bool()>& over, const std::function<void()>& give_up);
     template <class Answer, class Done>
     void read_over_link(int entry, const store_range& range, const Answer& answer, const Done& done);
     store_result apply(const store_transaction& t);
     store_page read(const store_range& range);
-    // How much later than sent an order is carried out; empty: at once.
+    // Returns the injected delay before an order is executed; empty: none.
     std::optional<duration> pick_delay(const worker_order& order);
     order_answer carry_out(flow_fake_worker& w, const worker_order& order, bool late = false);
     order_answer do_start(flow_fake_worker& w, const start_run& order, bool late);
+    // Calls `answer` once the worker has an unconfirmed end, or at `until`.
     void hold_until_end(flow_fake_worker& w, const worker_id& life, const hold_worker& order, instant until,
                         const std::function<void()>& answer);
-    void note_told(flow_fake_worker& w, const order_answer& answer);
+    // Marks the ends in `answer` as reported.
+    void record_reported_ends(flow_fake_worker& w, const order_answer& answer);
     order_answer do_hold(flow_fake_worker& w, const hold_worker& order);
     void forget_unconfirmed(flow_fake_worker& w);
+    // Ends the runs whose time has come, and all runs if the worker's lease has ended.
     void advance_worker(flow_fake_worker& w);
     void end_run(flow_fake_worker& w, const flow_task_id& task, run_end how);
     const flow_step* waiting_step(const flow_task_id& task) const;
     void begin_gang(const flow_task_id& task, run_number run);
     void end_gang(const flow_task_id& task, run_number run, run_end how);
-    void fault(const std::string& what);
+    void record_violation(const std::string& what);
+    // Checks a start order against the invariants, before the worker accepts it.
     void check_start(const flow_fake_worker& w, const start_run& order, bool late);
     void check_cancelled();
 
@@ -287,31 +316,32 @@
     shared_links links_;
     std::string config_text_;
     row_version config_row_{1};
-    std::map<std::int64_t, operator_look> operator_looks_;
-    std::int64_t last_look_ = 0;
+    std::map<std::int64_t, pending_operator_watch> operator_watches_;
+    std::int64_t last_watch_ = 0;
     std::map<store_key, stored> rows_;
     std::int64_t version_ = 0;
     bool table_down_ = false;
     std::map<int, bool> cut_from_table_;
     std::map<int, bool> cut_from_peers_;
-    std::map<int, int> pages_on_link_; // of jobs, by entry
-    int answers_to_lose_ = 0;
-    int history_ = 0;                 // how often it was discarded
-    std::map<int, int> history_seen_; // by entry
-    duration row_write_delay_{0};     // of the next one; 0: it is not delayed
+    std::map<int, int> pages_on_link_; // pages of jobs being transferred, by entry
+    int answers_to_drop_ = 0;
+    int history_ = 0;                 // number of discard_change_history() calls
+    std::map<int, int> history_seen_; // value of history_ at each entry's last watch of jobs
+    duration row_write_delay_{0};     // for the next row write; 0: no delay
     std::map<std::string, flow_spec> specs_;
     std::map<std::string, std::vector<caller_result>> answers_;
-    std::map<flow_task_id, int> done_; // less those that nobody need know of
+    std::map<flow_task_id, int> done_counts_; // without the ends in `forgotten`, whose tasks may run again
     std::set<flow_task_id> ever_done_;
     std::map<flow_task_id, int> failed_;
     std::map<flow_task_id, int> crashes_under_;
-    std::map<flow_task_id, int> starts_after_crashes_; // once the task has crashed as many as it may
-    std::map<std::string, instant> cancelled_;         // when; known 3 s later, from when on it must be kept to
-    instant impaired_at_{};                            // an instance was removed last
-    double late_share_ = 0;
+    std::map<flow_task_id, int> starts_after_crashes_; // starts of a task that has reached the crash limit
+    // Times at which jobs were cancelled. Each is added 3 s after the cancellation, when owners have to know of it.
+    std::map<std::string, instant> cancelled_;
+    instant last_kill_{}; // last time an entry was killed
+    double delayed_order_share_ = 0;
     int starts_to_delay_ = 0;
     duration start_delay_{0};
-    bool stops_lost_ = false;
+    bool drop_stops_ = false;
     bool starts_refused_ = false;
     flow_worker_list foreign_;
     std::int64_t job_writes_ = 0;
@@ -319,12 +349,12 @@
     std::int64_t job_rows_read_ = 0;
     std::map<std::string, std::int64_t> logged_;
     std::map<std::string, std::int64_t> starts_;
-    std::vector<std::string> faults_;
+    std::vector<std::string> violations_;
 };
 
-// A flow of `steps` steps, one after the other, of `count` tasks each.
+// Returns a flow of `steps` consecutive steps with `count` tasks each.
 flow_spec chain_spec(int steps, int count, std::int64_t cpu_millis = 1000);
-// One step that lasts.
+// Returns a flow of one lasting step.
 flow_spec lasting_spec(int count, std::int64_t cpu_millis = 1000);
 
 } // namespace skylarkhub::test
--- a/tests/test_flow.cpp
+++ b/tests/test_flow.cpp
@@ -1,4 +1,5 @@
-// Flows under failure, in virtual time: entries, a table and workers that are killed, cut off and lose answers.
+// Tests flows under failures, in virtual time: entries and workers that are killed or cut off, and lost answers of the
+// table. check_no_violations() reports tasks that ran twice, out of order or beyond a worker's capacity.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -15,8 +16,8 @@
 
 const std::string job_a = "00000000000000aa";
 const std::string job_b = "00000000000000bb";
-// No work that ends has come for so long that lasting jobs need to leave no more than the least for it.
-constexpr duration watched_long = 40s;
+// After this time without other jobs, lasting jobs have to leave only the minimum share of the workers free for others.
+constexpr duration minimum_share_delay = 40s;
 
 bool is_done(flow_simulation& w, int entry, const std::string& job)
 {
@@ -25,6 +26,7 @@
 
 } // namespace
 
+// Guards against steps that start early and against entries that do not show the job's end.
 BOOST_AUTO_TEST_CASE(steps_run_in_order_and_the_job_is_shown_done_at_every_entry)
 {
     flow_simulation w({.data_centres = {"a", "b"}});
@@ -38,7 +40,8 @@
 
 BOOST_AUTO_TEST_CASE(the_same_job_through_two_entries_is_one_job)
 {
-    // The caller gets no answer from one entry in time and asks another. Both answer "accepted"; the tasks run once.
+    // A caller that gets no answer from one entry in time submits the job to another. Both entries answer `accepted`,
+    // and the tasks must run once.
     flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(2s);
     w.send_submit(0, job_a, chain_spec(1, 5));
@@ -55,8 +58,8 @@
 
 BOOST_AUTO_TEST_CASE(a_lost_answer_of_the_table_is_settled_not_refused)
 {
-    // The table applies the accepting write and its answer is lost. The caller must not be told "did not run": the
-    // entry writes again, finds its own row there, and says "accepted".
+    // The table applies the write that accepts the job, and its answer is lost. The job must not be refused: the entry
+    // writes again, finds its own row and answers `accepted`.
     flow_simulation w({});
     w.run_for(2s);
     w.drop_next_table_answers(1);
@@ -70,8 +73,8 @@
 
 BOOST_AUTO_TEST_CASE(a_job_that_failed_for_good_is_not_taken_up_again)
 {
-    // Every run fails. The job is shown as failed after its last permitted run, and stays so: pages of the table that
-    // were read before its last write still show it going on, and taken up again its runs would begin anew.
+    // Every run fails, so the job fails after its last permitted run. Pages of the table that were read before the
+    // job's last write still show it as unfinished; an owner that used such a page would start its tasks again.
     flow_simulation w({.run_fails = [](const flow_task_id&, run_number) { return true; }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1)) == caller_result::accepted);
@@ -83,8 +86,8 @@
 
 BOOST_AUTO_TEST_CASE(a_killed_owner_is_followed_by_one_that_adopts_what_runs)
 {
-    // The owner dies while tasks run. The other entry takes the cell over, fences the workers and finds the tasks
-    // there: none is started a second time, and the job ends.
+    // The owner dies while tasks run. The other entry takes the cell over, fences the workers and adopts the runs that
+    // they report: no task may be started a second time, and the job must end.
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(8s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
@@ -96,6 +99,7 @@
     check_no_violations(w);
 }
 
+// Guards against lost or repeated tasks when all entries are killed and read the jobs again from table and workers.
 BOOST_AUTO_TEST_CASE(all_entries_lose_power_and_go_on_from_table_and_workers)
 {
     flow_simulation w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(2s); }});
@@ -117,9 +121,9 @@
 
 BOOST_AUTO_TEST_CASE(a_taker_that_reads_an_empty_list_starts_nothing_twice)
 {
-    // The platform's list has lost every worker of the cell, as it does while it cannot be written, and the owner dies.
-    // The taker would believe that nothing runs and start everything again; the cell's row names the workers, so it
-    // asks them.
+    // The worker list is empty, as it is while the platform cannot write it, and the owner dies. A new owner that
+    // relied on the list would find no runs and start all tasks again. The cell's row names the workers too, so the new
+    // owner asks those for their runs.
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(15s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
@@ -142,8 +146,8 @@
 
 BOOST_AUTO_TEST_CASE(nothing_starts_beside_runs_that_the_ledger_does_not_know)
 {
-    // Workers are full when all entries lose power, and a new job waits. The new owner hears of runs whose job's row it
-    // has not read yet; a start beside them would go over the worker's room.
+    // The worker is full when all entries are killed, and a new job waits. The worker reports runs of a job whose row
+    // the new owner has not read yet; starting the new job's tasks as well would exceed the worker's capacity.
     flow_simulation w({.workers_per_data_centre = 1, .run_time = [](const flow_task_id&) { return duration(6s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 4, 4000)) == caller_result::accepted);
@@ -160,9 +164,9 @@
 
 BOOST_AUTO_TEST_CASE(a_stop_outlives_its_owners_silence)
 {
-    // The owner is cut off from the table for longer than it may go on without a renewal, and hears of a cancelled job
-    // in that time. A stop dropped then would leave the tasks running under the holds that follow once the cut is
-    // healed.
+    // The owner is cut off from the table for longer than it may act without renewing its ownership, and a job is
+    // cancelled right after the cut. If its stop orders were dropped, the tasks would run on, since the holds that the
+    // owner sends again after the cut renew the workers' leases.
     flow_simulation w({.data_centres = {"a"}, .entries_per_data_centre = 1, .run_time = [](const flow_task_id&) {
                            return duration(60s);
                        }});
@@ -178,6 +182,7 @@
     check_no_violations(w);
 }
 
+// Guards against tasks that run on or start again after their job was cancelled through any entry.
 BOOST_AUTO_TEST_CASE(a_cancelled_job_stops_and_stays_so)
 {
     flow_simulation w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(20s); }});
@@ -195,8 +200,8 @@
 
 BOOST_AUTO_TEST_CASE(running_work_goes_on_while_the_table_is_down)
 {
-    // The table is away for nine seconds. What runs goes on, the next steps start, and the end is shown once it is
-    // durable.
+    // The table is down for nine seconds. Tasks must run on and the next steps must start, but the job is shown as done
+    // only once its end is stored in the table.
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(1500ms); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(4, 3)) == caller_result::accepted);
@@ -211,6 +216,7 @@
     check_no_violations(w);
 }
 
+// Guards against tasks of a crashed worker that never start again, or start while they may still run.
 BOOST_AUTO_TEST_CASE(a_crashed_workers_tasks_start_again_once_its_next_life_is_listed)
 {
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(5s); }});
@@ -224,7 +230,8 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_is_cut_off_keeps_its_tasks_until_its_lease_has_ended)
 {
-    // The worker runs on behind the cut. Its tasks start elsewhere only when its lease has certainly ended there.
+    // A worker that is cut off keeps running its tasks. They may start elsewhere only once its lease has certainly
+    // ended.
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(30s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
@@ -240,12 +247,12 @@
 
 BOOST_AUTO_TEST_CASE(a_task_without_room_goes_to_a_cell_that_has_some)
 {
-    // Lasting tasks fill one cell; the workers of the other stand empty. A task of a job bound to the full cell must
-    // not wait there: it is given to the other cell, and runs once.
+    // Lasting tasks fill one cell, and the workers of the other cell are idle. A task of a job that belongs to the full
+    // cell must be moved to the other cell, and run once.
     flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 1, .run_time = [](const flow_task_id&) {
                            return duration(1s);
                        }});
-    w.run_for(watched_long);
+    w.run_for(minimum_share_delay);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 4000)) == caller_result::accepted);
     w.run_for(8s);
     BOOST_TEST(w.count_running_tasks(job_a) == 6);
@@ -254,13 +261,14 @@
 
 BOOST_AUTO_TEST_CASE(an_entry_that_the_table_turns_away_goes_on_through_a_peer)
 {
-    // The table turns one entry away for eight seconds, the owner of the only cell, and serves the other. Its callers
-    // would see their jobs done only after that, and new ones told to come back. Its calls go through the other entry.
+    // The owner of the only cell cannot reach the table for more than six seconds; the other entry can. The owner must
+    // send its table calls through the other entry: otherwise its callers would see no job done until the table is
+    // reached again, and new jobs would be refused until then.
     flow_simulation w({});
     w.run_for(2s);
     const int owner = w.entry(0)->cells().begin()->second->owns() ? 0 : 1;
     w.cut_entry_from_table(owner, true);
-    w.run_for(6s); // known to be turned away by now
+    w.run_for(6s); // by now the owner has detected that the table does not answer
     const instant asked = w.now();
     BOOST_REQUIRE(w.submit(owner, job_a, chain_spec(2, 4)) == caller_result::accepted);
     BOOST_TEST(w.run_until([&] { return is_done(w, owner, job_a); }, 3s));
@@ -274,7 +282,7 @@
     check_no_violations(w);
 }
 
-// A look at the changes of a busy site that shows only some of them leaves the rest to the looks of the next seconds.
+// Guards against jobs that are missed or late because one watch of the changes returns only a part of them.
 BOOST_AUTO_TEST_CASE(an_owner_looks_on_where_one_look_does_not_show_all_jobs)
 {
     flow_simulation w({.workers_per_data_centre = 12, .watch_page_rows = 5});
@@ -295,11 +303,11 @@
 
 BOOST_AUTO_TEST_CASE(lasting_tasks_leave_room_to_short_work)
 {
-    // Standing watches come until they hold every processor; then a page check waits for minutes, and the last watches
-    // wait for each other. One that does not fit beside the share of short work is told so at once, and when to come
-    // back; a check that comes then starts at once.
+    // Lasting jobs that occupy every processor would make a short job wait for minutes, and the last lasting jobs would
+    // wait for each other. A lasting job that does not fit beside the share reserved for short work must be rejected at
+    // once, and a short job that is submitted then must start at once.
     flow_simulation w({.workers_per_data_centre = 4});
-    w.run_for(watched_long);
+    w.run_for(minimum_share_delay);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 8000)) == caller_result::accepted);
     w.run_for(1s);
     BOOST_TEST((w.submit(1, job_b, lasting_spec(2, 8000)) == caller_result::rejected));
@@ -311,10 +319,10 @@
 
 BOOST_AUTO_TEST_CASE(a_job_that_is_there_is_not_refused_for_want_of_room)
 {
-    // The caller's first try got no answer, and the job it handed in fills the site. It asks again through another
-    // entry: "refused, will never run" would be false, and make it hand the same watch in a second time.
+    // A caller gets no answer to a job that fills the site, and submits it again through another entry. Answering that
+    // the job is rejected would be false, and would make the caller submit the same work under another id.
     flow_simulation w({.workers_per_data_centre = 2});
-    w.run_for(watched_long);
+    w.run_for(minimum_share_delay);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(3, 8000)) == caller_result::accepted);
     w.run_for(1s);
     BOOST_TEST((w.submit(1, job_a, lasting_spec(3, 8000)) == caller_result::accepted));
@@ -323,8 +331,9 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_turned_slow_holds_no_step_up)
 {
-    // One worker takes twenty times as long for what it runs and answers as ever: the step would end after 20 s. Its
-    // run is stopped, and starts again elsewhere once its end is listed. A step that allows copies gets one instead.
+    // One worker needs twenty times as long for its runs but answers normally, so the step would end after 20 s. The
+    // slow run must be stopped, and started elsewhere once the worker has reported its end. A step that allows
+    // speculative copies gets a second run instead.
     for (const bool copies : {false, true}) {
         flow_simulation w({.workers_per_data_centre = 3, .run_time = [](const flow_task_id&) { return duration(1s); }});
         w.run_for(2s);
@@ -344,8 +353,8 @@
 
 BOOST_AUTO_TEST_CASE(a_task_that_is_slow_everywhere_is_not_started_for_ever)
 {
-    // Its estimate is a tenth of what it takes on any worker. Taken for the workers' fault each time, it would never
-    // end.
+    // A task's estimate is a tenth of its run time on any worker. If each run were stopped because its worker seemed
+    // slow, the task would never end.
     flow_simulation w({.workers_per_data_centre = 3, .run_time = [](const flow_task_id&) { return duration(10s); }});
     w.run_for(2s);
     flow_spec spec = chain_spec(1, 1, 4000);
@@ -356,6 +365,7 @@
     check_no_violations(w);
 }
 
+// Guards against a cell that waits for a lease to expire, or repeats tasks, after its owner was shut down.
 BOOST_AUTO_TEST_CASE(a_planned_stop_hands_the_cell_over_at_once)
 {
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(5s); }});
@@ -370,11 +380,13 @@
     check_no_violations(w);
 }
 
-// An entry that is stopped while it has rows to tell an owner of leaves them to the owner's look.
+// Guards against an entry that stops before it has announced an accepted job to its owner although it could, and
+// against one that waits without limit for an owner it cannot reach. In the second case the owner finds the job by its
+// watch.
 BOOST_AUTO_TEST_CASE(an_entry_that_stops_tells_of_a_job_first_but_does_not_wait_for_ever)
 {
-    for (const bool heard : {true, false}) {
-        BOOST_TEST_CONTEXT("the owner can be told " << heard)
+    for (const bool reachable : {true, false}) {
+        BOOST_TEST_CONTEXT("the owner can be reached " << reachable)
         {
             flow_simulation w({.entries_per_data_centre = 3});
             w.run_for(3s);
@@ -385,10 +397,10 @@
             BOOST_REQUIRE(w.answers().at(job_a).front() == caller_result::accepted);
             w.entry(other)->plan_stop(w.now());
             BOOST_TEST(!w.entry(other)->stopped());
-            w.cut_entry_from_peers(other, !heard);
+            w.cut_entry_from_peers(other, !reachable);
             BOOST_TEST(w.run_until([&] { return w.entry(other)->stopped(); }, 1600ms));
-            BOOST_TEST(w.count_log_events("entry", "leaves_untold") == (heard ? 0 : 1));
-            if (heard) {
+            BOOST_TEST(w.count_log_events("entry", "leaves_untold") == (reachable ? 0 : 1));
+            if (reachable) {
                 BOOST_TEST(w.count_log_events("job", "bound") == 1);
             }
             w.kill_entry(other);
@@ -398,6 +410,7 @@
     }
 }
 
+// Guards against starts on a worker that is listed as draining.
 BOOST_AUTO_TEST_CASE(a_draining_worker_gets_no_more_tasks)
 {
     flow_simulation w({.workers_per_data_centre = 2});
@@ -413,13 +426,14 @@
 
 BOOST_AUTO_TEST_CASE(an_owner_that_was_held_up_hears_its_workers_before_it_gives_them_up)
 {
-    // The owner is held up for longer than a lease. The answers that tell of the tasks' ends wait for it, and a worker
-    // has left meanwhile. The owner's timers and the answer to its renewal come first: all workers seem silent for too
-    // long. Given up at once, their tasks would start again, though the workers have told that they are done.
+    // The owner is paused for longer than a lease. Answers that report the tasks' ends wait in its queue, and one
+    // worker has left in the meantime. The owner handles its timers and the renewal of its ownership first, and all
+    // workers seem to have been silent for too long. If it treated them as lost at once, it would start tasks again
+    // whose ends are already reported.
     flow_simulation w({.entries_per_data_centre = 1,
                        .workers_per_data_centre = 3,
                        .run_time = [](const flow_task_id&) { return duration(1s); },
-                       .told_counts = true,
+                       .sent_ends_are_known = true,
                        .holds_wait = true});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 2, 16000)) == caller_result::accepted);
@@ -429,7 +443,7 @@
     w.run_for(1s);
     w.crash_worker(0, false);
     w.run_for(7s);
-    w.let_timers(0);
+    w.run_timers_only(0);
     w.run_for(50ms);
     w.resume_entry(0, true);
     BOOST_TEST(w.run_until([&] { return is_done(w, 0, job_a); }, 10s));
@@ -439,9 +453,9 @@
 
 BOOST_AUTO_TEST_CASE(an_end_of_a_job_that_the_owner_does_not_know_yet_is_not_forgotten)
 {
-    // A job was accepted while the cell changed hands: the owner before heard of it and ran its tasks, the new one had
-    // read the jobs already. The new owner is listed ends of a job that it does not know. Confirmed at once, the
-    // workers forget them, and the tasks start again when the owner comes across the job's row up to two seconds later.
+    // A job was accepted while its cell changed owners: the previous owner ran its tasks, and the new owner had read
+    // the jobs before. Workers report ends of this job to the new owner. If it confirmed them at once, the workers
+    // would delete them, and the tasks would start again when the owner reads the job's row up to two seconds later.
     flow_simulation w({.entries_per_data_centre = 1, .workers_per_data_centre = 2});
     w.run_for(2500ms);
     w.insert_unannounced_job(job_a, cell_id("a"), chain_spec(1, 2));
@@ -454,12 +468,13 @@
 
 BOOST_AUTO_TEST_CASE(an_owner_that_has_been_followed_leaves_the_ends_that_it_heard)
 {
-    // An owner that the table turns away hears that a task is done, and the worker leaves. The next owner cannot ask
-    // that worker, and waits, since it cannot reach another one either. The owner before learns that it has been
-    // followed. Unless it tells what it heard, the task is started again when the wait is over.
+    // An owner that is cut off from the table and its peers gets the report that a task is done, and the worker leaves.
+    // The next owner cannot ask that worker and waits, since another worker does not answer either. When the cut ends,
+    // the previous owner learns that it was replaced. It must pass on the reported end; otherwise the next owner starts
+    // the task again after its wait.
     flow_simulation w({.workers_per_data_centre = 3,
                        .run_time = [](const flow_task_id&) { return duration(1s); },
-                       .told_counts = true});
+                       .sent_ends_are_known = true});
     w.run_for(2s);
     const int owner = w.entry(0)->cells().at(cell_id("a"))->owns() ? 0 : 1;
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1)) == caller_result::accepted);
@@ -484,11 +499,12 @@
 
 namespace {
 
-constexpr int entries = 6; // of the random tests
+constexpr int entries = 6; // in run_random_faults()
 
-// Entries killed and started, cut off from the table and from each other, answers lost, workers crashed and cut off, in
-// an order drawn from the seed. Afterwards every accepted job ends, and no promise was broken on the way.
-void play_random_faults(std::uint64_t seed, std::int64_t worker_cpu_millis)
+// Runs jobs while entries are killed, started and cut off from the table and from each other, answers are lost, and
+// workers crash or are cut off, in an order drawn from the seed. Afterwards checks that every accepted job ends and
+// that no invariant was violated.
+void run_random_faults(std::uint64_t seed, std::int64_t worker_cpu_millis)
 {
     flow_simulation w(
         {.seed = seed,
@@ -528,7 +544,7 @@
         case 5:
             w.worker(absl::Uniform(random, 0, w.worker_count())).reachable = false;
             break;
-        case 6: // as when its data centre is cut off
+        case 6: // as when the entry's data centre is cut off
             w.cut_entry_from_table(victim, true);
             w.cut_entry_from_peers(victim, true);
             break;
@@ -568,13 +584,12 @@
     check_no_violations(w);
 }
 
-// Owners that get their processor in turns seconds apart, beside workers that leave and are replaced all the while,
-// workers that turn slow, stops that take their time, work that ends and work that lasts. Nobody is killed or cut off:
-// what an answer has told an owner counts as known. Afterwards the work that ends has ended.
-void play_slow_owners(std::uint64_t seed, int entries_per_data_centre)
+// Runs jobs, lasting ones among them, while entries are paused again and again for up to 8 s, workers drain, exit and
+// are replaced, workers become slow, and stops take 300 ms. No entry is killed or cut off, so an owner must not repeat
+// a task whose end an answer has reported. Afterwards checks that every accepted job that is not lasting ends.
+void run_slow_owners(std::uint64_t seed, int entries_per_data_centre)
 {
-    constexpr duration slowest_job =
-        3 * 12 * 300ms * 8; // each of its steps waits for the longest task on a slow worker
+    constexpr duration slowest_job = 3 * 12 * 300ms * 8; // three steps, each with the longest task on a slow worker
     const int slow_entries = 2 * entries_per_data_centre;
     flow_simulation w(
         {.seed = seed,
@@ -585,8 +600,8 @@
          .run_fails = [](const flow_task_id& t, run_number run) { return t.index == 1 && run.value() == 1; },
          .run_time = [](const flow_task_id& t) { return duration(300ms * (1 + t.index % 12)); },
          .stop_time = 300ms,
-         .told_counts = entries_per_data_centre == 1,
-         .heard_counts = entries_per_data_centre > 1,
+         .sent_ends_are_known = entries_per_data_centre == 1,
+         .handled_ends_are_known = entries_per_data_centre > 1,
          .holds_wait = true});
     random_source random = make_random(seed * 31);
     w.run_for(2s);
@@ -638,8 +653,9 @@
 
 BOOST_AUTO_TEST_CASE(a_new_owner_starts_nothing_on_a_worker_that_said_long_ago_that_it_leaves)
 {
-    // A worker says that it leaves while its cell's owner is dead. The entry that takes the cell over has looked at the
-    // list just before, and looks again only seconds later: a task that it starts there meanwhile ends with the worker.
+    // A worker is listed as draining while its cell has no owner. The entry that takes the cell over read the list just
+    // before that, and reads it again only seconds later. A task that it starts on the worker in between would end when
+    // the worker exits.
     for (int phase = 0; phase < 10; ++phase) {
         BOOST_TEST_CONTEXT("phase " << phase)
         {
@@ -663,37 +679,39 @@
     }
 }
 
+// Guards against invariant violations, and jobs that never end, under random faults on workers with free capacity.
 BOOST_AUTO_TEST_CASE(promises_hold_under_random_faults)
 {
     for (std::uint64_t seed = 1; seed <= random_seeds; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            play_random_faults(seed, 16000);
+            run_random_faults(seed, 16000);
         }
     }
 }
 
 BOOST_AUTO_TEST_CASE(promises_hold_under_random_faults_while_workers_are_full)
 {
-    // Three tasks fill a worker: many find no room in their cell and are given to the other, while owners change.
+    // A worker has room for one task at a time, so many tasks find no room in their cell and are moved to another cell
+    // while owners change.
     for (std::uint64_t seed = 1; seed <= random_seeds; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            play_random_faults(seed + 1000, 1500);
+            run_random_faults(seed + 1000, 1500);
         }
     }
 }
 
 BOOST_AUTO_TEST_CASE(a_gang_that_waits_for_its_last_members_holds_no_room)
 {
-    // A gang's members end one after another and it is to run again. While some of the earlier run are left, none of
-    // the new one is placed, and nothing may be held for it: room that a ledger holds for nobody is lost to everyone.
+    // A gang's members end one after another, and the gang has to run again. While members of the earlier run are left,
+    // no member of the new run can be placed, and no capacity may be reserved for it: no other task could use it.
     flow_simulation w(
         {.workers_per_data_centre = 2,
-         .worker_cpu_millis = 18000, // two tasks, and a little for short work
+         .worker_cpu_millis = 18000, // two tasks and the minimum share for short work
          .run_fails = [](const flow_task_id& t, run_number run) { return t.job.str() == job_a && run.value() < 3; },
          .run_time = [](const flow_task_id& t) { return duration(300ms * (1 + t.index)); }});
-    w.run_for(watched_long);
+    w.run_for(minimum_share_delay);
     flow_spec gang = chain_spec(1, 3, 8000);
     gang.steps.front().gang = true;
     BOOST_REQUIRE(w.submit(0, job_a, gang) == caller_result::accepted);
@@ -705,10 +723,10 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_goes_to_another_cell_whole_or_not_at_all)
 {
-    // A gang has failed where all workers are about to leave, and one member's end is heard two seconds late, since its
-    // worker could not be reached. By then the other member has waited long enough to be given away, and the late one
-    // has not: the first one, given away by itself, would wait elsewhere in vain, and the late one would stay where it
-    // has no room, for ever.
+    // A gang fails in a cell where all its workers are draining, and the owner learns of one member's end two seconds
+    // late, since its worker could not be reached. By then the other member has waited long enough to be moved to
+    // another cell. Moved alone, it would wait there for the gang without end, and the late member would stay in a cell
+    // that has no room for it.
     flow_simulation w({.data_centres = {"a", "b"},
                        .workers_per_data_centre = 2,
                        .worker_cpu_millis = 18000,
@@ -736,8 +754,9 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_wider_than_every_cell_runs_over_several)
 {
-    // Only one member may run on a worker, and no data centre has as many workers as the gang has members; together
-    // they have. Placed by one cell's owner alone the gang would never start, with nearly everything free.
+    // Each member needs a worker of its own. No cell has as many workers as the gang has members, but all cells
+    // together do. If one cell's owner had to place the whole gang, it would never start although nearly all workers
+    // are free.
     flow_simulation w({.data_centres = {"a", "b", "c"}, .workers_per_data_centre = 2, .gang_start_barrier = true});
     w.run_for(2s);
     flow_spec gang = chain_spec(1, 5, 1000);
@@ -750,8 +769,9 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_that_another_cell_cannot_complete_waits_for_nobody)
 {
-    // Cell B seems to have room for two members, and has it for one, so it gives both back. By then cell A has started
-    // its own: left alone they would wait three seconds for the others in vain, again and again.
+    // Cell B seems to have room for two members but has room for one, so it returns both. By then cell A has started
+    // its own members. If cell A did not stop them, they would wait three seconds for the others, time out, and do so
+    // again after each new start.
     flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 2, .gang_start_barrier = true});
     w.worker(3).room.memory_mib = 500; // less than a member needs
     w.run_for(2s);
@@ -768,8 +788,8 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_over_several_cells_fails_together_and_runs_again)
 {
-    // One member fails, the others break off in three cells, whose owners hear of it at different moments. Started
-    // again by each owner for itself, the members would have different numbers, and wait for each other in vain.
+    // One member fails, so the members in all three cells end, and the cells' owners learn of it at different times. If
+    // each owner started its members again by itself, they would have different run numbers and never form one gang.
     flow_simulation w({.data_centres = {"a", "b", "c"},
                        .workers_per_data_centre = 2,
                        .run_fails = [](const flow_task_id& t, run_number) { return t.index == 3; },
@@ -786,9 +806,9 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_over_several_cells_outlives_their_owners_and_workers)
 {
-    // An owner, or a worker with a member, dies at any moment of a gang that runs over three cells. The new owner
-    // numbers its starts anew, so its members cannot join the run that the others wait for: all go back, and start
-    // again.
+    // An owner, or a worker with a member, dies at any moment of a gang that runs over three cells. A new owner uses
+    // new run numbers, so its members cannot join the run that the other members wait for: all members must be returned
+    // and started again together.
     for (int round = 0; round < 24; ++round) {
         BOOST_TEST_CONTEXT("round " << round)
         {
@@ -818,9 +838,9 @@
 
 BOOST_AUTO_TEST_CASE(a_task_with_a_label_goes_where_a_worker_with_it_has_room)
 {
-    // A task needs a label that one worker of each cell has. In cells A and B that worker is full, and the others have
-    // more left than all of C, where the worker with the label has come up and is idle. Sent where most is left, the
-    // task would go to and fro between A and B for ever.
+    // A task needs a label that one worker of each cell has. In cells A and B this worker is full, but their other
+    // workers have more free capacity than cell C, where only the idle worker with the label is listed. If the task
+    // were moved to the cell with the most free capacity, it would move between A and B without end.
     flow_simulation w({.data_centres = {"a", "b", "c"}});
     for (const int worker : {0, 3, 6}) {
         w.worker(worker).labels = {"rack-1", "x"};
@@ -843,8 +863,9 @@
 
 BOOST_AUTO_TEST_CASE(a_gang_with_a_label_runs_over_the_workers_that_have_it)
 {
-    // One worker of each data centre has the label, and only one member may run on a worker. Taken for room, the other
-    // workers would draw the gang from cell to cell, or leave a cell with more members than it can start.
+    // One worker of each cell has the label, and each member needs a worker of its own. If workers without the label
+    // counted as free capacity, the gang would move from cell to cell, or a cell would get more members than it can
+    // start.
     flow_simulation w({.data_centres = {"a", "b", "c"}, .gang_start_barrier = true});
     for (const int worker : {0, 3, 6}) {
         w.worker(worker).labels = {"rack-1", "x"};
@@ -861,18 +882,19 @@
 
 BOOST_AUTO_TEST_CASE(an_owner_that_was_followed_gives_no_task_away)
 {
-    // An owner is cut off; another takes its cell over and gives a waiting task to cell B, where it runs. The cut heals
-    // towards the peers first: the old owner, which does not know yet, gives the same task to cell C, and its write
-    // goes out when the table is reached again. In force, that write would have the task run in B and in C.
+    // An owner is cut off, and another entry takes its cell over and moves a waiting task to cell B, where it runs. The
+    // old owner reaches its peers again before it reaches the table. Not knowing that it was replaced, it moves the
+    // same task to cell C, and sends this write once it reaches the table. If the write were applied, the task would
+    // run in B and in C.
     for (int healed_after = 0; healed_after < 12; ++healed_after) {
         BOOST_TEST_CONTEXT("round " << healed_after)
         {
             flow_simulation w({.seed = static_cast<std::uint64_t>(healed_after) + 1,
                                .data_centres = {"a", "b", "c"},
                                .workers_per_data_centre = 1,
-                               .worker_cpu_millis = 1150, // one task, and a little for short work
+                               .worker_cpu_millis = 1150, // one task and the minimum share for short work
                                .run_time = [](const flow_task_id&) { return duration(60s); }});
-            w.run_for(watched_long);
+            w.run_for(minimum_share_delay);
             const std::vector<std::string> fillers{"00000000000000f1", "00000000000000f2", "00000000000000f3"};
             for (const std::string& filler : fillers) {
                 BOOST_REQUIRE(w.submit(0, filler, lasting_spec(1, 1000)) == caller_result::accepted);
@@ -925,11 +947,12 @@
 
 BOOST_AUTO_TEST_CASE(a_cell_whose_owner_has_heard_of_no_worker_yet_is_no_place_and_no_harm)
 {
-    // A lasting task waits in a full cell while the owner of the other has just taken over and its workers do not
-    // answer: it tells of a pool without one worker. Looking for room there must find none, and the waiting goes on.
+    // A lasting task waits in a full cell. The owner of the other cell has just taken over and its worker does not
+    // answer, so this owner reports a pool without workers. The search for free capacity must find none in that cell,
+    // and the task must keep waiting.
     flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 1, .worker_cpu_millis = 4600});
-    w.run_for(watched_long);
-    // At the same moment, so that neither entry knows of the other's job: one of them waits.
+    w.run_for(minimum_share_delay);
+    // Both jobs are submitted at the same time, so that neither entry knows of the other job and both accept.
     w.send_submit(0, job_a, lasting_spec(2, 4000));
     w.send_submit(2, job_b, lasting_spec(2, 4000));
     w.run_for(3s);
@@ -954,8 +977,8 @@
 
 BOOST_AUTO_TEST_CASE(what_lasts_moves_off_a_worker_that_drains_before_it_leaves)
 {
-    // A worker says that it leaves, serves on for two seconds and is gone with all that ran there. Its tasks that last
-    // were away until the lease of their runs had ended, six seconds later; now they run elsewhere when it goes.
+    // A worker is listed as draining and exits two seconds later with all its runs. Lasting tasks that stay on it would
+    // not run again until its lease has ended, six seconds later, so they must be moved before the worker exits.
     flow_simulation w({.workers_per_data_centre = 4});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 4000)) == caller_result::accepted);
@@ -976,12 +999,12 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_that_left_while_the_owner_stood_still_holds_up_no_other_workers_tasks)
 {
-    // A task that lasts fails on a worker that is up, and nothing runs in its place for 17 s, with room all around. The
-    // owner of the cell stands still for 5 s; another worker of the cell leaves meanwhile, as workers do all the time.
-    // The follower cannot ask that one what runs there. It waited until the owner before had certainly fallen silent,
-    // 10 s, and a lease, before it started anything again: one that left held up the tasks of all the others.
-    constexpr duration stood_still = 5s;
-    constexpr duration missed_most = 12s; // since the owner stood still; tasks may be missed for 3 s once all is calm
+    // The owner of a cell is paused for 5 s. In this time one worker leaves, and a lasting task fails on another worker
+    // that is up. The next owner cannot ask the worker that left for its runs. If it started no task at all until the
+    // previous owner had certainly stopped acting (10 s) and a lease had ended, the failed task would not run for 17 s
+    // although there is free capacity.
+    constexpr duration pause_time = 5s;
+    constexpr duration recovery_limit = 12s; // from the start of the pause until all tasks run
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(10, 4000)) == caller_result::accepted);
@@ -1005,32 +1028,34 @@
         }
     }
     w.fail_run(failing);
-    w.run_for(stood_still - 1s);
+    w.run_for(pause_time - 1s);
     w.resume_entry(owner);
-    w.run_for(missed_most - stood_still);
+    w.run_for(recovery_limit - pause_time);
     BOOST_TEST(w.count_running_tasks(job_a) == 10);
     check_no_violations(w);
 }
 
 BOOST_AUTO_TEST_CASE(slow_owners_start_nothing_twice)
 {
-    // More seeds by hand: test_flow --run_test=slow_owners_start_nothing_twice -- FIRST LAST
+    // Guards against tasks that run twice because an owner acts on old information after a pause.
+    // To run other seeds: test_flow --run_test=slow_owners_start_nothing_twice -- FIRST LAST
     const auto& arguments = boost::unit_test::framework::master_test_suite();
-    const bool by_hand = arguments.argc == 3;
-    const std::uint64_t first = by_hand ? std::stoull(arguments.argv[1]) : 1;
-    const std::uint64_t last = by_hand ? std::stoull(arguments.argv[2]) : 26;
+    const bool seeds_given = arguments.argc == 3;
+    const std::uint64_t first = seeds_given ? std::stoull(arguments.argv[1]) : 1;
+    const std::uint64_t last = seeds_given ? std::stoull(arguments.argv[2]) : 26;
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            play_slow_owners(seed, 1 + static_cast<int>(seed % 2));
+            run_slow_owners(seed, 1 + static_cast<int>(seed % 2));
         }
     }
 }
 
 BOOST_AUTO_TEST_CASE(all_jobs_are_read_over_a_narrow_link_after_a_loss_of_all_entries)
 {
-    // Tasks that last stand still for 17 s after all entries were killed: their cell has no owner. Each owner reads all
-    // jobs first; it asked for all parts at once, so that none arrived in the time it is waited for, and asked anew.
+    // An owner reads all jobs before it takes up its cell. When it requested all partitions at once over a narrow link,
+    // no page arrived within its time-out and all were requested again, so the cell had no owner and its lasting tasks
+    // did not run for 17 s.
     flow_simulation w({.workers_per_data_centre = 4, .job_page_transfer_time = 300ms});
     w.run_for(5s);
     BOOST_REQUIRE(w.submit(0, job_a, lasting_spec(6, 4000)) == caller_result::accepted);
--- a/tests/test_flow_metrics.cpp
+++ b/tests/test_flow_metrics.cpp
@@ -1,4 +1,4 @@
-// The metrics page of an entry.
+// Tests the text of an entry's metrics page: histogram buckets, labels and counters.
 #include <boost/test/unit_test.hpp>
 
 #include "flow_metrics_p.h"
@@ -15,6 +15,7 @@
 
 } // namespace
 
+// Guards against histogram buckets that are not cumulative, and against losing values outside all buckets.
 BOOST_AUTO_TEST_CASE(buckets_count_everything_up_to_their_end)
 {
     latency_buckets counts;
@@ -22,7 +23,7 @@
     counts.add(5ms);
     counts.add(200ms);
     counts.add(90s);   // beyond the last bucket
-    counts.add(-20ms); // a wall clock that jumped back
+    counts.add(-20ms); // negative wait, after the wall clock was set back
     std::string page;
     counts.write(page, "wait_seconds", "cell=\"a\"");
     BOOST_TEST(has_line(page, "skylarkhub_wait_seconds_bucket{cell=\"a\",le=\"0.005\"} 3"));
@@ -33,6 +34,7 @@
     BOOST_TEST(has_line(page, "skylarkhub_wait_seconds_sum{cell=\"a\"} 90.208000"));
 }
 
+// Guards against `{}` after metric names that have no labels.
 BOOST_AUTO_TEST_CASE(a_page_without_labels_has_no_empty_braces)
 {
     std::string page;
@@ -46,6 +48,7 @@
     BOOST_TEST(page.find("{}") == std::string::npos);
 }
 
+// Guards against mixing the waits of different kinds of tasks in one histogram.
 BOOST_AUTO_TEST_CASE(waits_are_told_by_kind_of_task)
 {
     std::string page;
