--- a/tests/test_flow_pending.cpp
+++ b/tests/test_flow_pending.cpp
@@ -1,4 +1,4 @@
-// How many jobs of a queue wait, asked at entries that the owner of their cell cannot tell.
+// Tests the pending count of a queue at entries that the owner of the jobs' cell cannot reach.
 #include <boost/test/unit_test.hpp>
 
 #include "support_flow_simulation.h"
@@ -12,12 +12,13 @@
 const std::string job_a = "00000000000000aa";
 const std::string job_b = "00000000000000bb";
 
-// A task for which no worker has room: its job is accepted and waits.
+// A spec whose only task needs more CPU than any worker has, so that its job is accepted and stays queued.
 flow_spec spec_without_room()
 {
     return chain_spec(1, 1, 1000000);
 }
 
+// Returns the index of the entry that owns the cell, or -1.
 int owner_of(flow_simulation& w, const std::string& cell, int entries)
 {
     for (int entry = 0; entry < entries; ++entry) {
@@ -32,9 +33,9 @@
 
 BOOST_AUTO_TEST_CASE(jobs_accepted_for_a_cell_whose_owner_is_cut_off_are_counted_everywhere)
 {
-    // A data centre is cut off. Jobs that were accepted outside for one of its cells in the moments before anybody
-    // knew of it have waited for seconds, and an entry that is asked how many wait says none: only the one that had
-    // accepted them knew, as the owner could not be told.
+    // Both entries of data centre b are paused, and an entry of data centre a accepts four jobs before any entry has
+    // noticed. The fault: the other entry of data centre a reported none of them 2 s later, because the accepting
+    // entry could not notify the owner of the cell.
     flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(3s);
     const int accepting = owner_of(w, "a", 4);
@@ -50,8 +51,8 @@
 
 BOOST_AUTO_TEST_CASE(jobs_of_a_cell_whose_owner_has_just_started_anew_are_counted)
 {
-    // The owner of a cell loses power and starts anew. What it had told went with its earlier life, and until the cell
-    // had an owner again that all could hear, its jobs were missing from what other entries said.
+    // The owner of a cell is killed and restarted. The fault: its peers discarded the counts of its previous
+    // process, so their answers omitted its jobs until the cell had a reachable owner again.
     flow_simulation w({.data_centres = {"a", "b"}, .entries_per_data_centre = 1});
     w.run_for(3s);
     BOOST_REQUIRE(w.submit(1, job_a, spec_without_room()) == caller_result::accepted);
@@ -60,20 +61,20 @@
     BOOST_REQUIRE(w.pending(0) == 2);
     w.kill_entry(1);
     w.start_entry(1);
-    for (int look = 0; look < 30; ++look) {
+    for (int poll = 0; poll < 30; ++poll) {
         w.run_for(100ms);
         BOOST_TEST(w.pending(0) == 2);
     }
 }
 
-// A job that no worker has taken a task of is left out, since its owner has decided to start one.
+// Guards against omitting a job from the count once its owner has sent a start that the workers then refuse.
 BOOST_AUTO_TEST_CASE(a_job_whose_start_is_refused_is_counted)
 {
     flow_simulation w({.workers_per_data_centre = 2});
     w.run_for(3s);
     w.refuse_starts(true);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1, 10000)) == caller_result::accepted);
-    for (int look = 0; look < 60; ++look) {
+    for (int poll = 0; poll < 60; ++poll) {
         w.run_for(100ms);
         BOOST_TEST(w.pending(0) == 1);
         BOOST_TEST(w.pending(1) == 1);
@@ -82,14 +83,14 @@
     BOOST_TEST((w.state(0, job_a) == flow_state::queued));
 }
 
-// The same while the start is on its way to a worker that does not answer.
+// Guards against omitting a job from the count while its start waits for a worker that does not answer.
 BOOST_AUTO_TEST_CASE(a_job_whose_start_is_not_answered_is_counted)
 {
     flow_simulation w({.workers_per_data_centre = 1});
     w.run_for(3s);
     w.worker(0).reachable = false;
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 1, 10000)) == caller_result::accepted);
-    for (int look = 0; look < 50; ++look) {
+    for (int poll = 0; poll < 50; ++poll) {
         w.run_for(100ms);
         BOOST_TEST(w.pending(0) == 1);
         BOOST_TEST(w.pending(1) == 1);
--- a/tests/test_flow_pending_begun.cpp
+++ b/tests/test_flow_pending_begun.cpp
@@ -1,4 +1,4 @@
-// How many jobs of a queue wait, where starts were noted, sent or given to another cell and none came to a worker.
+// Tests the pending count of a queue when starts were recorded, sent or given to another cell, but no worker ran them.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -14,11 +14,12 @@
 
 namespace {
 
-constexpr duration counted_after = 5s; // from its acceptance on, until a worker has begun a task of it
-constexpr duration step = 100ms;
-constexpr duration asked_for = 10s;
+constexpr duration counted_after = 5s; // after this time every entry has to count an accepted job with no task begun
+constexpr duration poll_interval = 100ms;
+constexpr duration poll_duration = 10s;
 constexpr int jobs_sent = 4;
 
+// Returns the index of the entry that owns the cell, or -1.
 int owner_of(flow_simulation& w, const std::string& cell, int entries)
 {
     for (int entry = 0; entry < entries; ++entry) {
@@ -36,7 +37,7 @@
     return spec;
 }
 
-// Jobs of which no task has begun.
+// Accepted jobs, and the time at which the last one was accepted.
 struct waiting_jobs {
     std::vector<std::string> names;
     instant accepted{};
@@ -53,41 +54,42 @@
     return jobs;
 }
 
-// Every entry that is up tells of all of them once they have waited so long; most of the questions are answered.
+// Checks that from `counted_after` on every running entry counts all of the jobs, that at most 5 % of the queries are
+// refused, and that no task of the jobs has started.
 void check_counted(flow_simulation& w, const waiting_jobs& jobs, int entries)
 {
     if (w.now() <= jobs.accepted + counted_after) {
-        w.run_for(jobs.accepted + counted_after - w.now() + step);
+        w.run_for(jobs.accepted + counted_after - w.now() + poll_interval);
     }
     int asked = 0;
     int refused = 0;
-    int short_of = 0;
-    std::int64_t least = static_cast<std::int64_t>(jobs.names.size());
-    for (duration t{0}; t < asked_for; t += step) {
+    int too_low = 0;
+    std::int64_t lowest = static_cast<std::int64_t>(jobs.names.size());
+    for (duration t{0}; t < poll_duration; t += poll_interval) {
         for (int entry = 0; entry < entries; ++entry) {
             if (w.entry(entry) == nullptr) {
                 continue;
             }
-            const std::int64_t told = w.pending(entry);
+            const std::int64_t count = w.pending(entry);
             ++asked;
-            refused += told < 0 ? 1 : 0;
-            short_of += told >= 0 && told < static_cast<std::int64_t>(jobs.names.size()) ? 1 : 0;
-            least = told >= 0 ? std::min(least, told) : least;
+            refused += count < 0 ? 1 : 0;
+            too_low += count >= 0 && count < static_cast<std::int64_t>(jobs.names.size()) ? 1 : 0;
+            lowest = count >= 0 ? std::min(lowest, count) : lowest;
         }
-        w.run_for(step);
+        w.run_for(poll_interval);
     }
     for (const std::string& job : jobs.names) {
-        BOOST_REQUIRE(w.count_job_starts(job) == 0); // on any worker
+        BOOST_REQUIRE(w.count_job_starts(job) == 0);
     }
     BOOST_TEST(asked > 50);
     BOOST_TEST(refused * 20 <= asked, refused << " of " << asked << " refused");
-    BOOST_TEST(short_of == 0, short_of << " of " << asked << " answers short, least " << least);
+    BOOST_TEST(too_low == 0, too_low << " of " << asked << " answers too low, lowest " << lowest);
     check_no_violations(w);
 }
 
 } // namespace
 
-// A start that was noted and lost passes for begun with the owner that follows.
+// Guards against the next owner treating a recorded start as begun although it never reached the worker.
 BOOST_AUTO_TEST_CASE(lasting_jobs_whose_starts_were_lost_are_counted_by_the_next_owner)
 {
     flow_simulation w({.workers_per_data_centre = 1});
@@ -100,7 +102,7 @@
     check_counted(w, jobs, 2);
 }
 
-// A start that was noted and refused passes for begun with the owner that follows.
+// Guards against the next owner treating a recorded start as begun although the worker refused it.
 BOOST_AUTO_TEST_CASE(lasting_jobs_whose_starts_were_refused_are_counted_by_the_next_owner)
 {
     flow_simulation w({});
@@ -113,7 +115,7 @@
     check_counted(w, jobs, 2);
 }
 
-// The same with an owner that lives.
+// Guards against an owner that keeps running treating a refused start of a lasting task as begun.
 BOOST_AUTO_TEST_CASE(lasting_jobs_whose_starts_are_refused_are_counted)
 {
     flow_simulation w({});
@@ -122,7 +124,7 @@
     check_counted(w, submit_jobs(w, 0, lasting_spec(1, 1000)), 2);
 }
 
-// A start of short work that was refused passes for begun with the owner that follows.
+// Guards against the next owner treating a refused start of a short task as begun.
 BOOST_AUTO_TEST_CASE(jobs_whose_starts_were_refused_are_counted_by_the_next_owner)
 {
     flow_simulation w({});
@@ -137,22 +139,24 @@
 
 namespace {
 
+// Returns whether the owner of the cell has the job in memory.
 bool holds_job(flow_simulation& w, const std::string& cell, const std::string& job)
 {
     const int owner = owner_of(w, cell, 4);
     return owner >= 0 && w.entry(owner)->cells().at(cell_id(cell))->find_job(job_id(job)) != nullptr;
 }
 
-// The job's cell loses its room; the other one has some, and its workers refuse.
+// Shrinks the workers of the jobs' cell, so that tasks are given to the other cell, whose workers refuse the starts.
+// Checks that the jobs are still counted.
 void give_to_refusing_cell(const flow_spec& spec)
 {
     flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(3s);
     w.refuse_starts(true);
     const waiting_jobs jobs = submit_jobs(w, owner_of(w, "a", 4), spec);
-    const std::string bound_to = holds_job(w, "a", jobs.names.front()) ? "a" : "b";
+    const std::string job_cell = holds_job(w, "a", jobs.names.front()) ? "a" : "b";
     for (int worker = 0; worker < w.worker_count(); ++worker) {
-        if (w.worker(worker).data_centre.str() == bound_to) {
+        if (w.worker(worker).data_centre.str() == job_cell) {
             w.set_worker_capacity(worker, {1000, 64000, 0}, 0ms);
         }
     }
@@ -163,19 +167,20 @@
 
 } // namespace
 
-// A start that the owner of another cell has noted passes for begun with the owner of the job's.
+// Guards against the owner of a job treating a lasting task as begun when another cell's owner recorded its start.
 BOOST_AUTO_TEST_CASE(lasting_jobs_given_to_a_cell_that_does_not_start_them_are_counted)
 {
     give_to_refusing_cell(lasting_spec(1, 8000));
 }
 
-// A task that is elsewhere passes for begun.
+// Guards against treating a short task as begun because it was given to another cell.
 BOOST_AUTO_TEST_CASE(jobs_given_to_a_cell_that_does_not_start_them_are_counted)
 {
     give_to_refusing_cell(chain_spec(1, 1, 8000));
 }
 
-// A start that comes after the stop of its run is answered as of a run that was, and passes for begun.
+// Guards against treating a start as begun when it arrives after the stop of its run. The worker answers such a start
+// as if the run had existed.
 BOOST_AUTO_TEST_CASE(gangs_whose_stops_overtake_their_starts_are_counted)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -194,7 +199,7 @@
     }
 }
 
-// A gang that is spread over cells and goes back passes for begun.
+// Guards against treating a gang as begun when it was given to several cells and then given back.
 BOOST_AUTO_TEST_CASE(gangs_given_back_are_counted)
 {
     flow_simulation w({.data_centres = {"a", "b"}, .gang_start_barrier = true});
@@ -206,7 +211,7 @@
     BOOST_TEST(w.count_log_events("gang", "given_back") > 0);
 }
 
-// Orders that come seconds late, after their leases or stops, pass for begun.
+// Guards against treating a start as begun when it arrives seconds late, after the end of its lease or its stop.
 BOOST_AUTO_TEST_CASE(jobs_whose_starts_come_late_and_are_refused_are_counted)
 {
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -221,16 +226,16 @@
     }
 }
 
-// A task that another cell has begun passes for waiting, as nobody tells the owner of the job's.
+// Guards against counting a job as pending when another cell runs its task and has not notified the job's owner.
 BOOST_AUTO_TEST_CASE(lasting_jobs_begun_in_another_cell_are_not_counted)
 {
     flow_simulation w({.data_centres = {"a", "b"}});
     w.run_for(3s);
     w.refuse_starts(true);
     const waiting_jobs jobs = submit_jobs(w, owner_of(w, "a", 4), lasting_spec(1, 8000));
-    const std::string bound_to = holds_job(w, "a", jobs.names.front()) ? "a" : "b";
+    const std::string job_cell = holds_job(w, "a", jobs.names.front()) ? "a" : "b";
     for (int worker = 0; worker < w.worker_count(); ++worker) {
-        if (w.worker(worker).data_centre.str() == bound_to) {
+        if (w.worker(worker).data_centre.str() == job_cell) {
             w.set_worker_capacity(worker, {1000, 64000, 0}, 0ms);
         }
     }
@@ -245,7 +250,7 @@
     check_no_violations(w);
 }
 
-// What runs passes for waiting with the owner that follows, as the row only tells of its note.
+// Guards against the next owner counting running jobs as pending. Their rows show only that a start was recorded.
 BOOST_AUTO_TEST_CASE(lasting_jobs_that_run_are_not_counted_by_the_next_owner)
 {
     flow_simulation w({});
--- a/tests/test_flow_restarts_leases.cpp
+++ b/tests/test_flow_restarts_leases.cpp
@@ -1,5 +1,5 @@
-// How long lasting tasks of a worker that is gone stand still while all entries restart in turn, and so the owners of
-// its cell follow each other faster than a lease ends or the rows are read.
+// Tests how soon the lasting tasks of a lost worker run on other workers while all entries restart in turn, so that
+// the ownership of its cell changes faster than a lease expires or the rows of the cell are read.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -26,24 +26,25 @@
 constexpr int tasks_all = jobs_count * tasks_each;
 constexpr duration step = 50ms;
 constexpr duration restart_gap = 400ms;
-constexpr duration still_most = 9s; // since the loss or the last taking down: one lease and a start
-constexpr duration given_up = 40s;  // after the last restart
-constexpr int phases = 8;
+constexpr duration recovery_limit =
+    9s; // one lease and a start, from the later of the worker loss and the last stop of an entry
+constexpr duration recovery_timeout = 40s; // after the last entry restart
+constexpr int phases = 8;                  // offsets of the first restart at which each case runs
 constexpr duration phase_step = 130ms;
 
 enum class restart_kind : std::uint8_t { killed, planned };
-enum class gone_kind : std::uint8_t { crashed, cut_off };
+enum class loss_kind : std::uint8_t { crashed, cut_off };
 
 struct restart_case {
     restart_kind kind = restart_kind::killed;
     int rounds = 1;
-    duration page_time{0}; // of rows of jobs, over the entry's link
-    gone_kind gone = gone_kind::crashed;
-    duration gone_before{0}; // the first restart; negative: while entries restart
-    int phase = 0;           // of the first restart to the renewals and looks of the entries
+    duration page_time{0}; // transfer time of a page of job rows over the link of an entry
+    loss_kind gone = loss_kind::crashed;
+    duration gone_before{0}; // time from the worker loss to the first restart; negative: the loss comes after it
+    int phase = 0; // offset of the first restart from the lease renewals and table polls, in units of `phase_step`
 };
 
-// A site on which lasting tasks run, and of which one worker of each data centre goes for good.
+// A site that runs lasting tasks. A test can remove one worker of each data centre for good and restart entries.
 class lasting_site {
 public:
     lasting_site(int phase, duration page_time) : world_(make_options(page_time))
@@ -61,7 +62,8 @@
 
     flow_simulation& world() { return world_; }
 
-    void lose_workers(gone_kind how)
+    // Removes one busy worker of each data centre: it crashes or becomes unreachable.
+    void lose_workers(loss_kind how)
     {
         gone_at_ = world_.now();
         for (const char* data_centre : {"a", "b"}) {
@@ -75,7 +77,7 @@
                 }
                 w.reachable = false;
                 w.listed = false;
-                if (how == gone_kind::crashed) {
+                if (how == loss_kind::crashed) {
                     world_.crash_worker(i, false);
                 }
                 break;
@@ -84,7 +86,8 @@
         BOOST_REQUIRE(!lost_.empty());
     }
 
-    void take_down(int entry, restart_kind kind)
+    // Kills the entry for 800 ms, or stops it by plan for 3 s.
+    void stop_entry(int entry, restart_kind kind)
     {
         last_down_ = world_.now();
         if (kind == restart_kind::killed) {
@@ -97,7 +100,8 @@
         away_[entry] = world_.now() + 3s;
     }
 
-    // Entries that are due start again.
+    // Runs the simulation for one step, restarts the entries whose downtime is over, and records when all lost tasks
+    // run.
     void advance()
     {
         world_.run_for(step);
@@ -117,7 +121,7 @@
         }
         const std::set<flow_task_id> running = running_elsewhere();
         const bool all = std::includes(running.begin(), running.end(), lost_.begin(), lost_.end());
-        whole_at_ = !all ? instant::max() : whole_at_ == instant::max() ? world_.now() : whole_at_;
+        recovered_at_ = !all ? instant::max() : recovered_at_ == instant::max() ? world_.now() : recovered_at_;
     }
 
     void advance_for(duration d)
@@ -128,7 +132,7 @@
         }
     }
 
-    // The entry that owns the cell, or -1.
+    // Returns the index of a running entry that owns the cell, or -1.
     int owner_of(const char* cell)
     {
         for (int i = 0; i < entries_count; ++i) {
@@ -143,31 +147,34 @@
         return -1;
     }
 
+    // Waits for all restarts and checks that the lost tasks run again within `recovery_limit` and that no task was
+    // started more often than needed.
     void check(const std::string& name)
     {
         while (!away_.empty()) {
             advance();
         }
-        while (whole_at_ == instant::max() && world_.now() < last_back_ + given_up) {
+        while (recovered_at_ == instant::max() && world_.now() < last_back_ + recovery_timeout) {
             advance();
         }
         advance_for(15s);
-        const bool whole = whole_at_ != instant::max();
+        const bool recovered = recovered_at_ != instant::max();
         const auto since = [&](instant from) {
-            return whole ? fmt::format("{:.2f}", std::chrono::duration<double>(whole_at_ - from).count()) : "never";
+            return recovered ? fmt::format("{:.2f}", std::chrono::duration<double>(recovered_at_ - from).count())
+                             : "never";
         };
         std::int64_t starts = 0;
         for (const std::string& job : jobs_) {
             starts += world_.count_job_starts(job);
         }
-        const auto anew = starts - tasks_all - static_cast<std::int64_t>(lost_.size());
-        const std::string told =
-            fmt::format("{}: whole {} s after the loss, {} s after the last taking down, {} s after the last start; "
-                        "{} starts too many",
-                        name, since(gone_at_), since(last_down_), since(last_back_), anew);
-        BOOST_TEST_MESSAGE(told);
-        BOOST_TEST((whole && whole_at_ <= std::max(gone_at_, last_down_) + still_most), told);
-        BOOST_TEST(anew == 0, told);
+        const auto surplus_starts = starts - tasks_all - static_cast<std::int64_t>(lost_.size());
+        const std::string summary = fmt::format(
+            "{}: all lost tasks run {} s after the loss, {} s after the last stop, {} s after the last restart; "
+            "{} surplus starts",
+            name, since(gone_at_), since(last_down_), since(last_back_), surplus_starts);
+        BOOST_TEST_MESSAGE(summary);
+        BOOST_TEST((recovered && recovered_at_ <= std::max(gone_at_, last_down_) + recovery_limit), summary);
+        BOOST_TEST(surplus_starts == 0, summary);
         check_no_violations(world_);
     }
 
@@ -183,6 +190,7 @@
         return o;
     }
 
+    // Returns the tasks that run on reachable workers.
     std::set<flow_task_id> running_elsewhere()
     {
         std::set<flow_task_id> running;
@@ -200,14 +208,15 @@
     flow_simulation world_;
     std::vector<std::string> jobs_;
     std::set<flow_task_id> lost_;
-    std::map<int, instant> away_; // and when it comes back
+    std::map<int, instant> away_; // stopped entries, with the time of their restart
     instant gone_at_ = world_.now();
     instant last_down_{};
     instant last_back_{};
-    instant whole_at_ = instant::max(); // since then all of `lost_` run elsewhere
+    instant recovered_at_ = instant::max(); // time since which all tasks in `lost_` run on other workers
 };
 
-void play_turns(const restart_case& c)
+// Restarts all entries in turn, `restart_gap` apart, and removes the workers at the time that the case gives.
+void restart_in_turn(const restart_case& c)
 {
     lasting_site site(c.phase, c.page_time);
     const instant first = site.world().now() + std::max<duration>(c.gone_before, duration(0));
@@ -220,161 +229,171 @@
             site.lose_workers(c.gone);
         }
         if (restarted < c.rounds * entries_count && site.world().now() >= first + restarted * restart_gap) {
-            site.take_down(restarted++ % entries_count, c.kind);
+            site.stop_entry(restarted++ % entries_count, c.kind);
         }
         site.advance();
     }
     site.check(fmt::format("{} {} rounds, pages {} ms, {}, lost {} ms before, phase {}",
                            c.kind == restart_kind::killed ? "killed" : "planned", c.rounds, c.page_time / 1ms,
-                           c.gone == gone_kind::crashed ? "crashed" : "cut off", c.gone_before / 1ms, c.phase));
+                           c.gone == loss_kind::crashed ? "crashed" : "cut off", c.gone_before / 1ms, c.phase));
 }
 
-void play_all_turns(restart_case c)
+// Runs the case for every time of the loss, kind of loss and phase.
+void restart_in_turn_all_cases(restart_case c)
 {
     for (const duration before : {duration(4s), duration(0s), duration(-2s), duration(-4s)}) {
-        for (const gone_kind gone : {gone_kind::crashed, gone_kind::cut_off}) {
+        for (const loss_kind gone : {loss_kind::crashed, loss_kind::cut_off}) {
             for (int phase = 0; phase < phases; ++phase) {
                 c.gone_before = before;
                 c.gone = gone;
                 c.phase = phase;
-                play_turns(c);
+                restart_in_turn(c);
             }
         }
     }
 }
 
-// Each owner of cell a is taken down `lives` after it has taken the cell, in the ways of `kinds` in turn.
-void play_chase(const std::vector<restart_kind>& kinds, int owners, duration lives, duration page_time,
-                bool worker_lost = true)
+// Stops `owners` successive owners of cell a, each `owner_lifetime` after it has acquired the cell. The kinds of
+// restart in `kinds` alternate.
+void stop_successive_owners(const std::vector<restart_kind>& kinds, int owners, duration owner_lifetime,
+                            duration page_time, bool worker_lost = true)
 {
     for (int phase = 0; phase < phases; ++phase) {
         lasting_site site(phase, page_time);
         if (worker_lost) {
-            site.lose_workers(gone_kind::crashed);
+            site.lose_workers(loss_kind::crashed);
         }
         for (int i = 0; i < owners; ++i) {
             while (site.owner_of("a") < 0) {
                 site.advance();
             }
-            site.advance_for(lives);
+            site.advance_for(owner_lifetime);
             if (const int owner = site.owner_of("a"); owner >= 0) {
-                site.take_down(owner, kinds.at(static_cast<std::size_t>(i) % kinds.size()));
+                site.stop_entry(owner, kinds.at(static_cast<std::size_t>(i) % kinds.size()));
             }
         }
-        site.check(fmt::format("chased, {}, {} owners, {} ms each, pages {} ms, phase {}",
+        site.check(fmt::format("successive owners, {}, {} owners, {} ms each, pages {} ms, phase {}",
                                kinds.size() > 1                        ? "planned and killed"
                                : kinds.front() == restart_kind::killed ? "killed"
                                                                        : "planned",
-                               owners, lives / 1ms, page_time / 1ms, phase));
+                               owners, owner_lifetime / 1ms, page_time / 1ms, phase));
     }
 }
 
 } // namespace
 
-// Owners that are killed in turn each wait a lease anew for a worker that is gone.
+// Guards against each owner waiting another full lease for a lost worker when entries are killed in turn.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_entries_are_killed_in_turn)
 {
-    play_all_turns({.kind = restart_kind::killed});
+    restart_in_turn_all_cases({.kind = restart_kind::killed});
 }
 
-// The same where an entry is killed again before what follows from the first time is over.
+// Guards against each owner waiting another full lease when entries are killed again before the site has recovered
+// from the first round.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_entries_are_killed_twice)
 {
-    play_all_turns({.kind = restart_kind::killed, .rounds = 2});
+    restart_in_turn_all_cases({.kind = restart_kind::killed, .rounds = 2});
 }
 
-// Owners that hand over do not hand on how long the lost worker's leases may last.
+// Guards against an owner that stops by plan not passing the lease end of a lost worker to the next owner.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_entries_are_stopped_in_turn)
 {
-    play_all_turns({.kind = restart_kind::planned});
+    restart_in_turn_all_cases({.kind = restart_kind::planned});
 }
 
-// The same where an entry is stopped again before what follows from the first time is over.
+// Guards against losing the lease end of a lost worker when entries are stopped by plan again before the site has
+// recovered from the first round.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_entries_are_stopped_twice)
 {
-    play_all_turns({.kind = restart_kind::planned, .rounds = 2});
+    restart_in_turn_all_cases({.kind = restart_kind::planned, .rounds = 2});
 }
 
-// Each owner is killed while it reads the rows, and the next begins to read anew.
+// Guards against lost tasks waiting too long when each owner is killed while it reads the rows, so that the next owner
+// reads them from the beginning.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_owners_are_killed_that_read_slowly)
 {
-    play_all_turns({.kind = restart_kind::killed, .page_time = 400ms});
+    restart_in_turn_all_cases({.kind = restart_kind::killed, .page_time = 400ms});
 }
 
-// The same twice round.
+// Guards against lost tasks waiting too long when owners are killed during slow reads of the rows in two rounds.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_owners_are_killed_twice_that_read_slowly)
 {
-    play_all_turns({.kind = restart_kind::killed, .rounds = 2, .page_time = 400ms});
+    restart_in_turn_all_cases({.kind = restart_kind::killed, .rounds = 2, .page_time = 400ms});
 }
 
-// Each owner is stopped while it reads the rows, and hands over nothing of what it has read.
+// Guards against lost tasks waiting too long when each owner is stopped by plan while it reads the rows, and passes
+// nothing that it has read to the next owner.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_owners_are_stopped_that_read_slowly)
 {
-    play_all_turns({.kind = restart_kind::planned, .page_time = 400ms});
+    restart_in_turn_all_cases({.kind = restart_kind::planned, .page_time = 400ms});
 }
 
-// The same twice round.
+// Guards against lost tasks waiting too long when owners are stopped by plan during slow reads in two rounds.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_while_owners_are_stopped_twice_that_read_slowly)
 {
-    play_all_turns({.kind = restart_kind::planned, .rounds = 2, .page_time = 400ms});
+    restart_in_turn_all_cases({.kind = restart_kind::planned, .rounds = 2, .page_time = 400ms});
 }
 
-// An owner that is killed soon after it has taken the cell leaves no word of the workers that it cannot reach.
+// Guards against repeated lease waits when an owner is killed 500 ms after it has acquired the cell, before it has
+// recorded which workers it cannot reach.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_though_each_owner_is_killed_at_once)
 {
     for (const int owners : {1, 2, 3, 4}) {
-        play_chase({restart_kind::killed}, owners, 500ms, duration(0));
+        stop_successive_owners({restart_kind::killed}, owners, 500ms, duration(0));
     }
 }
 
-// The word that owners leave of a silent worker's leases grows by the time that their followers take to read it.
+// Guards against the recorded lease end of an unreachable worker moving later with each owner, by the time that the
+// next owner takes to read it.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_though_owners_are_killed_that_have_left_word)
 {
     for (const int owners : {1, 2, 3, 4}) {
-        for (const duration lives : {2500ms, 3000ms, 3500ms}) {
-            play_chase({restart_kind::killed}, owners, lives, duration(0));
+        for (const duration owner_lifetime : {2500ms, 3000ms, 3500ms}) {
+            stop_successive_owners({restart_kind::killed}, owners, owner_lifetime, duration(0));
         }
     }
 }
 
-// The same with rows that are read slowly: each owner is killed before it has read them.
+// Guards against repeated lease waits when each owner is killed before it has read its rows, which takes 400 ms a page.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_though_owners_are_killed_before_they_have_read)
 {
     for (const int owners : {1, 2, 3}) {
-        for (const duration lives : {500ms, 3500ms}) {
-            play_chase({restart_kind::killed}, owners, lives, 400ms);
+        for (const duration owner_lifetime : {500ms, 3500ms}) {
+            stop_successive_owners({restart_kind::killed}, owners, owner_lifetime, 400ms);
         }
     }
 }
 
-// Owners that follow each other faster than their first renewal of leases let all tasks of the cell lapse.
+// Guards against the leases of all tasks of a cell expiring when each owner is stopped by plan before it first renews
+// them.
 BOOST_AUTO_TEST_CASE(tasks_go_on_though_each_owner_is_stopped_before_it_renews_leases)
 {
-    for (const duration lives : {300ms, 500ms, 700ms, 900ms, 1100ms, 1300ms, 1500ms}) {
-        play_chase({restart_kind::planned}, 14, lives, duration(0), false);
+    for (const duration owner_lifetime : {300ms, 500ms, 700ms, 900ms, 1100ms, 1300ms, 1500ms}) {
+        stop_successive_owners({restart_kind::planned}, 14, owner_lifetime, duration(0), false);
     }
 }
 
-// The same with owners that are killed.
+// Guards against the leases of all tasks of a cell expiring when each owner is killed before it first renews them.
 BOOST_AUTO_TEST_CASE(tasks_go_on_though_each_owner_is_killed_before_it_renews_leases)
 {
-    for (const duration lives : {300ms, 700ms, 1100ms, 1500ms}) {
-        play_chase({restart_kind::killed}, 8, lives, duration(0), false);
+    for (const duration owner_lifetime : {300ms, 700ms, 1100ms, 1500ms}) {
+        stop_successive_owners({restart_kind::killed}, 8, owner_lifetime, duration(0), false);
     }
 }
 
-// An owner that is killed soon after it has taken a released cell drops the word of the release.
+// Guards against losing the lease ends that a planned release recorded, when the next owner is killed 500 ms after it
+// has acquired the cell.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_though_an_owner_is_killed_after_a_release)
 {
     for (const int owners : {2, 4}) {
-        play_chase({restart_kind::planned, restart_kind::killed}, owners, 500ms, duration(0));
+        stop_successive_owners({restart_kind::planned, restart_kind::killed}, owners, 500ms, duration(0));
     }
 }
 
-// Owners that are stopped one after another, each soon after it has taken the cell.
+// Guards against repeated lease waits when each owner is stopped by plan 500 ms after it has acquired the cell.
 BOOST_AUTO_TEST_CASE(lost_tasks_start_again_though_each_owner_is_stopped_at_once)
 {
     for (const int owners : {1, 2, 3, 4}) {
-        play_chase({restart_kind::planned}, owners, 500ms, duration(0));
+        stop_successive_owners({restart_kind::planned}, owners, 500ms, duration(0));
     }
 }
