--- a/tests/test_flow_cancel.cpp
+++ b/tests/test_flow_cancel.cpp
@@ -1,4 +1,5 @@
-// What still runs after a job was cancelled: orders carried out long after they were sent, senders that are gone.
+// Tests that no task of a cancelled job keeps running: when workers execute start commands late, and when the instance
+// that sent them has been killed.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -23,9 +24,9 @@
 
 BOOST_AUTO_TEST_CASE(starts_carried_out_after_the_cancel_are_stopped)
 {
-    // The worker leaves the starts of a job unanswered; the job is cancelled; then the worker carries them out.
+    // The workers do not answer the start commands of a job and execute them only after the job was cancelled.
     for (int delay_ms = 500; delay_ms <= 8000; delay_ms += 500) {
-        BOOST_TEST_CONTEXT("carried out after " << delay_ms << " ms")
+        BOOST_TEST_CONTEXT("executed after " << delay_ms << " ms")
         {
             flow_simulation w({.run_time = [](const flow_task_id&) { return duration(60s); }});
             w.run_for(2s);
@@ -43,11 +44,11 @@
 
 BOOST_AUTO_TEST_CASE(starts_of_an_instance_that_is_gone_for_good_are_stopped)
 {
-    // The owner sends starts that the workers leave unanswered, and is removed for good with the job cancelled. Its
-    // follower knows nothing of these runs and finds the job cancelled in its row; the workers carry the starts out
-    // before they have heard of the follower.
+    // The cell's owner sends start commands that the workers do not answer; the job is cancelled and the owner is
+    // killed for good. The next owner of the cell has no record of these runs and reads from the table that the job is
+    // cancelled. The workers execute the starts before the next owner has contacted them.
     for (int delay_ms = 500; delay_ms <= 8000; delay_ms += 500) {
-        BOOST_TEST_CONTEXT("carried out after " << delay_ms << " ms")
+        BOOST_TEST_CONTEXT("executed after " << delay_ms << " ms")
         {
             flow_simulation w({.run_time = [](const flow_task_id&) { return duration(60s); }});
             w.run_for(2s);
@@ -67,21 +68,21 @@
 
 BOOST_AUTO_TEST_CASE(many_stray_runs_of_one_job_are_stopped_together)
 {
-    // A follower hears of twenty runs of a job that has ended, on one worker. Stopped one for each exchange they would
-    // go on for seconds.
+    // The next owner of a cell finds twenty runs of an ended job on one worker. If it stopped one run per exchange with
+    // the worker, the last ones would run for seconds more.
     flow_simulation w({.workers_per_data_centre = 1, .worker_cpu_millis = 64000, .run_time = [](const flow_task_id&) {
                            return duration(60s);
                        }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 20)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job_a) == 20; }, 5s));
-    w.worker(0).reachable = false; // its owner hears nothing, and neither does its follower at first
+    w.worker(0).reachable = false; // neither the owner nor, at first, the next owner can contact it
     const int owner = owner_of(w);
     BOOST_TEST((w.cancel(1 - owner, job_a) == caller_result::cancelled));
     w.run_for(300ms);
     w.kill_entry(owner);
-    w.worker(0).lease_until = instant::max(); // held by nobody, and yet not lapsed
-    w.run_for(14s);                           // until the follower has written that the job has ended
+    w.worker(0).lease_until = instant::max(); // no owner renews its lease, and the lease does not expire
+    w.run_for(14s);                           // until the next owner has written that the job has ended
     BOOST_REQUIRE(w.state(1 - owner, job_a) == flow_state::cancelled);
     w.worker(0).reachable = true;
     BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 0; }, 1200ms));
@@ -89,9 +90,9 @@
 
 BOOST_AUTO_TEST_CASE(stray_runs_are_stopped_on_a_worker_that_fell_out_of_the_list)
 {
-    // A follower has asked a worker what runs there, and stops what belongs to a job that has ended; the stops get no
-    // answer. Meanwhile the worker's entry lapses, though it is alive. With nothing of its own there the follower would
-    // look at it no more, and the tasks would run on.
+    // The next owner of a cell has read a worker's runs and stops those of an ended job; the stop commands get no
+    // answer. Meanwhile the worker's entry in the worker list expires though the worker is alive. An owner that no
+    // longer contacts an unlisted worker on which it started nothing itself would leave the tasks running.
     flow_simulation w({.workers_per_data_centre = 1, .run_time = [](const flow_task_id&) { return duration(60s); }});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 6)) == caller_result::accepted);
@@ -114,8 +115,8 @@
 
 BOOST_AUTO_TEST_CASE(cancelled_jobs_leave_nothing_running_under_late_orders_and_removed_instances)
 {
-    // A fifth of all orders gets no answer and is carried out 2 to 12 s later, while most jobs are cancelled soon after
-    // they began and owners are killed, stand still and come back. Nothing of a cancelled job runs on for long.
+    // A fifth of all commands to workers gets no answer and is executed 2 to 12 s later, while most jobs are cancelled
+    // soon after their start and instances are killed and restarted. No task of a cancelled job may run on for long.
     for (std::uint64_t seed = 1; seed <= 150; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
@@ -127,21 +128,21 @@
             random_source random = make_random(seed * 31);
             w.run_for(2s);
             w.delay_orders(0.2);
-            std::vector<std::string> kept;
+            std::vector<std::string> uncancelled;
             for (int round = 0; round < 16; ++round) {
                 const std::string job = fmt::format("{:016x}", seed * 100 + static_cast<std::uint64_t>(round));
-                const int by = absl::Uniform(random, 0, 3);
-                if (w.entry(by) == nullptr) {
-                    w.start_entry(by);
+                const int entry = absl::Uniform(random, 0, 3);
+                if (w.entry(entry) == nullptr) {
+                    w.start_entry(entry);
                     w.run_for(500ms);
                 }
-                const bool accepted = w.submit(by, job, chain_spec(1, 6)) == caller_result::accepted;
+                const bool accepted = w.submit(entry, job, chain_spec(1, 6)) == caller_result::accepted;
                 w.run_for(std::chrono::milliseconds(absl::Uniform(random, 0, 2500)));
                 if (accepted && absl::Uniform(random, 0, 4) != 0) {
-                    w.cancel(by, job);
+                    w.cancel(entry, job);
                 }
                 else if (accepted) {
-                    kept.push_back(job);
+                    uncancelled.push_back(job);
                 }
                 if (absl::Uniform(random, 0, 4) == 0) {
                     w.kill_entry(absl::Uniform(random, 0, 3));
@@ -153,7 +154,7 @@
                     w.start_entry(i);
                 }
             }
-            for (const std::string& job : kept) {
+            for (const std::string& job : uncancelled) {
                 BOOST_TEST(w.run_until([&] { return w.state(0, job) == flow_state::done; }, 80s));
             }
             check_no_violations(w);
@@ -161,12 +162,12 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_run_that_is_being_stopped_keeps_its_room)
+BOOST_AUTO_TEST_CASE(a_run_that_is_being_stopped_keeps_its_capacity)
 {
-    // A worker is started over its room. A job is cancelled just after its task was started: the start is accepted, the
-    // stop is accepted and takes its time, and then an answer arrives that the worker gave to an exchange before
-    // either. It does not list the run, which is no sign that the run is gone: its room was given to the next task at
-    // once.
+    // Guards against starting more tasks on a worker than fit. A job is cancelled just after its task was started. The
+    // worker accepts the start and the stop, which takes 200 ms. Then an answer arrives that the worker sent before it
+    // received either command, so the answer does not list the run. If the owner takes the run for ended, it gives the
+    // run's capacity to the next task while the run is still being stopped.
     const std::string job_b = "00000000000000bb";
     for (int phase_ms = 0; phase_ms < 200; phase_ms += 10) {
         BOOST_TEST_CONTEXT("exchanges are in phase " << phase_ms << " ms")
--- a/tests/test_flow_commit.cpp
+++ b/tests/test_flow_commit.cpp
@@ -1,4 +1,5 @@
-// The rows of a job: one writer each, and what follows from all of them together.
+// Tests of a job's rows in the table. Each row is written by one cell's owner only; the state of the job follows from
+// all of its rows together. News rows are the rows that one cell writes for the owner of another.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -15,8 +16,9 @@
 
 const std::string job_a = "00000000000000aa";
 
-// Two cells; one job has more tasks than its own has room for, so that many move.
-flow_simulation::options crowded()
+// Options for a site of two cells in which a large job has more tasks than its own cell has capacity for, so that many
+// tasks move to the other cell.
+flow_simulation::options overloaded_site()
 {
     return {.data_centres = {"a", "b"},
             .workers_per_data_centre = 2,
@@ -24,8 +26,8 @@
             .run_time = [](const flow_task_id& t) { return duration(400ms + t.index % 11 * 60ms); }};
 }
 
-// The first id from `n` on whose rows are in the same part as those of the job.
-std::string id_beside(const std::string& job, int n)
+// Returns the first job id from `n` on whose rows are in the same partition of the table as those of `job`.
+std::string id_in_same_partition(const std::string& job, int n)
 {
     std::string id = fmt::format("{:016x}", n);
     while (job_part(job_id(id)) != job_part(job_id(job))) {
@@ -61,10 +63,10 @@
     BOOST_TEST((index_cancel_key(job).key >= index_rows(job).from && index_cancel_key(job).key < index_rows(job).to));
 }
 
-// Owners of several cells refuse each other's writes, and rows that somebody waits for stay behind for seconds.
+// Guards against write conflicts between the owners of several cells, which delay rows by seconds.
 BOOST_AUTO_TEST_CASE(no_write_is_refused_while_no_owner_changes)
 {
-    flow_simulation w(crowded());
+    flow_simulation w(overloaded_site());
     w.run_for(2s);
     const std::vector<std::string> jobs{"0000000000000001", "0000000000000002", "0000000000000003"};
     for (const std::string& job : jobs) {
@@ -76,26 +78,27 @@
     check_no_violations(w);
 }
 
-// A job whose row changes all the time keeps another one from being shown as done.
-BOOST_AUTO_TEST_CASE(a_job_with_tasks_in_many_cells_holds_up_no_other_row)
+// Guards against a job whose row changes constantly delaying the row that reports the end of another job.
+BOOST_AUTO_TEST_CASE(a_job_with_tasks_in_many_cells_delays_no_other_row)
 {
-    constexpr duration shown_most = 3s; // its tasks wait for room, run for 100 ms and are written once
-    flow_simulation w(crowded());
+    constexpr duration max_report_time = 3s; // its tasks wait for capacity, run for 100 ms and are written once
+    flow_simulation w(overloaded_site());
     w.run_for(2s);
-    const std::string waiting = id_beside(job_a, 2);
+    const std::string waiting = id_in_same_partition(job_a, 2);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 900, 1500)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(0, waiting, chain_spec(1, 3, 100)) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return w.stored_outcome(waiting) != 0; }, shown_most));
+    BOOST_TEST(w.run_until([&] { return w.stored_outcome(waiting) != 0; }, max_report_time));
     BOOST_TEST(w.count_running_tasks(job_a) > 0);
     BOOST_REQUIRE(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, 90s));
     check_no_violations(w);
 }
 
-// The last task of a step ends in another cell, and the next step waits for a look at all changed rows.
-BOOST_AUTO_TEST_CASE(a_moved_tasks_end_opens_the_next_step_at_once)
+// Guards against a next step that waits for the periodic read of changed rows when the last task of the step before has
+// ended in another cell.
+BOOST_AUTO_TEST_CASE(a_moved_tasks_end_starts_the_next_step_at_once)
 {
-    constexpr duration opened_most = 200ms; // one write and one message; the next look may be 2 s away
-    flow_simulation w(crowded());
+    constexpr duration max_step_delay = 200ms; // one write and one message; the next periodic read may be 2 s away
+    flow_simulation w(overloaded_site());
     w.run_for(2s);
     flow_spec spec = chain_spec(2, 60, 3000);
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
@@ -107,15 +110,15 @@
         last_end = w.count_running_tasks(job_a) > 0 && w.count_job_starts(job_a) <= 60 ? w.now() : last_end;
     }
     BOOST_TEST(w.count_job_starts(job_a) > 60);
-    BOOST_TEST((w.now() - last_end <= opened_most));
+    BOOST_TEST((w.now() - last_end <= max_step_delay));
     BOOST_REQUIRE(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, 30s));
     check_no_violations(w);
 }
 
-// Rows of ended jobs stay behind for ever, and each takeover reads them.
+// Guards against rows of ended jobs that are never removed and have to be read at each takeover.
 BOOST_AUTO_TEST_CASE(of_an_ended_job_only_its_index_is_left)
 {
-    flow_simulation w(crowded());
+    flow_simulation w(overloaded_site());
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 100, 3000)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return w.count_owner_rows(job_a) > 2; }, 10s));
@@ -129,7 +132,7 @@
     check_no_violations(w);
 }
 
-// A cell is without a working owner for as long as it takes to read the jobs of the whole site.
+// Guards against a new owner that reads the jobs of the whole site before it can work.
 BOOST_AUTO_TEST_CASE(a_takeover_reads_the_rows_of_its_own_cell_only)
 {
     flow_simulation w({.data_centres = {"a", "b"}, .run_time = [](const flow_task_id&) { return duration(60s); }});
@@ -149,12 +152,13 @@
     }
     BOOST_REQUIRE(w.run_until([&] { return w.count_owners("b") == 1; }, 10s));
     w.run_for(200ms);
-    const std::int64_t of_the_job = 2;                                // its own row and what its acceptor told
-    BOOST_TEST(w.job_rows_read() - before <= of_the_job + job_parts); // and a fence a part
+    const std::int64_t rows_of_job = 2; // its own row and the row of the entry that accepted it
+    BOOST_TEST(w.job_rows_read() - before <= rows_of_job + job_parts); // one fence row per partition
     check_no_violations(w);
 }
 
-// An owner that was followed writes a move or a start that its follower does not know of.
+// Guards against an owner that was paused and replaced, and then writes a move or a start that the new owner does not
+// know of.
 BOOST_AUTO_TEST_CASE(a_write_of_an_owner_that_was_followed_is_refused)
 {
     flow_simulation w({.table_latency = std::chrono::milliseconds(16),
@@ -175,10 +179,11 @@
     check_no_violations(w);
 }
 
-// Two owners each count some failed runs of a job; one of them tells callers that it failed, the other that it is done.
+// Two cells' owners each count some failed runs of a job. Guards against one of them reporting the job as failed and
+// the other one as done.
 BOOST_AUTO_TEST_CASE(only_the_owner_of_a_jobs_cell_says_that_it_failed)
 {
-    flow_simulation::options options = crowded();
+    flow_simulation::options options = overloaded_site();
     options.run_fails = [](const flow_task_id& task, run_number) { return task.index == 59; };
     flow_simulation w(options);
     w.run_for(2s);
@@ -192,8 +197,9 @@
     check_no_violations(w);
 }
 
-// A new owner takes a job up by the first of its rows, which ends one page, and starts anew what the next one tells.
-BOOST_AUTO_TEST_CASE(a_job_whose_news_begin_in_one_page_and_end_in_the_next_is_known_whole)
+// Guards against a new owner that starts a task again because only the first of its job's rows is in the page read and
+// the row that says that the task is done is in the next page.
+BOOST_AUTO_TEST_CASE(a_job_whose_news_rows_span_two_pages_is_read_whole)
 {
     constexpr int page_rows = 100;
     for (int before = page_rows - 3; before <= page_rows + 1; ++before) {
@@ -202,11 +208,11 @@
             flow_simulation w({.entries_per_data_centre = 1});
             w.run_for(2s);
             w.kill_entry(0);
-            const std::string split = id_beside(job_a, 0x10000000);
-            std::string other = id_beside(job_a, 1);
+            const std::string split = id_in_same_partition(job_a, 0x10000000);
+            std::string other = id_in_same_partition(job_a, 1);
             for (int i = 0; i < before; ++i) {
-                w.put_job_row(cancel_row(cell_id("a"), job_id(other)), {}); // of a job nobody knows any more
-                other = id_beside(job_a, static_cast<int>(std::stol(other, nullptr, 16)) + 1);
+                w.put_job_row(cancel_row(cell_id("a"), job_id(other)), {}); // a row of a job that no longer exists
+                other = id_in_same_partition(job_a, static_cast<int>(std::stol(other, nullptr, 16)) + 1);
             }
             w.insert_unannounced_job(split, cell_id("a"), chain_spec(1, 2));
             wire::flow_job_row facts;
@@ -222,7 +228,7 @@
     }
 }
 
-// News of a job come after its end, and the next owner of the cell takes the job up again.
+// Guards against running an ended job again because a news row of it is written after its end.
 BOOST_AUTO_TEST_CASE(late_news_of_an_ended_job_start_nothing)
 {
     flow_simulation w({.data_centres = {"a", "b"}});
@@ -250,7 +256,7 @@
     BOOST_TEST(w.count_owner_rows(job_a) == 0);
 }
 
-// A write whose answer was lost brings an ended job's row back, and the next owner runs the job again.
+// Guards against a delayed write that restores the removed row of an ended job, which the next owner would run again.
 BOOST_AUTO_TEST_CASE(a_write_that_comes_late_brings_no_removed_row_back)
 {
     for (duration late = 1s; late <= 13s; late += 500ms) {
@@ -274,7 +280,7 @@
     }
 }
 
-// A row that cannot be read makes its job's tasks run again, or stops the rest of the cell.
+// Guards against an unreadable row that makes its job's tasks run again or blocks the other jobs of the cell.
 BOOST_AUTO_TEST_CASE(a_row_that_cannot_be_read_starts_nothing_and_is_kept)
 {
     flow_simulation w({.run_time = [](const flow_task_id&) { return duration(20s); }});
@@ -298,7 +304,7 @@
     BOOST_TEST(w.count_log_events("row", "unreadable") > 0);
 }
 
-// A release that keeps rows in another way forgets the jobs that it finds.
+// Guards against ignoring jobs that an earlier release stored in another row format.
 BOOST_AUTO_TEST_CASE(an_entry_that_finds_jobs_of_an_earlier_release_owns_nothing)
 {
     flow_simulation w({});
@@ -311,10 +317,11 @@
     BOOST_TEST(w.run_until([&] { return w.count_owners("a") == 1; }, 15s));
 }
 
-// A cell that was given a task by one that had not heard of the cancel is never told of it, and the task runs on.
+// Cell b gives a task on to cell c before it has received the cancel of the job. Guards against cell c never receiving
+// the cancel, so that the task runs on.
 BOOST_AUTO_TEST_CASE(a_task_given_on_after_the_cancel_is_stopped)
 {
-    constexpr duration stopped_most = 5s;
+    constexpr duration max_stop_time = 5s;
     for (duration after{0}; after < 60ms; after += 2ms) {
         BOOST_TEST_CONTEXT("cancelled " << after.count() / 1000 << " ms after the second cell began to give tasks on")
         {
@@ -324,14 +331,15 @@
             w.run_for(2s);
             const std::string job_b = "00000000000000bb";
             const std::string job_c = "00000000000000cc";
-            w.insert_unannounced_job(job_b, cell_id("b"), chain_spec(1, 6, 4000)); // leaves room for two, for a second
+            // The job leaves capacity for two more tasks in cell b; its tasks run for 1 s.
+            w.insert_unannounced_job(job_b, cell_id("b"), chain_spec(1, 6, 4000));
             w.insert_unannounced_job(job_c, cell_id("c"), chain_spec(1, 8, 4000));
             w.run_for(2500ms);
             w.insert_unannounced_job(job_a, cell_id("a"), chain_spec(1, 24, 4000));
             BOOST_REQUIRE(w.run_until([&] { return w.count_log_events("task", "given_away") > 0; }, 10s));
             w.run_for(after);
             BOOST_TEST((w.cancel(0, job_a) == caller_result::cancelled));
-            w.run_for(stopped_most);
+            w.run_for(max_stop_time);
             BOOST_TEST(w.count_running_tasks(job_a) == 0);
             check_no_violations(w);
         }
@@ -340,9 +348,11 @@
 
 namespace {
 
-enum class trouble { giver_killed, giver_frozen, receiver_killed, receiver_cut_off, answers_lost };
+enum class failure_kind { giver_killed, giver_paused, receiver_killed, receiver_cut_off, answers_lost };
 
-void bring(flow_simulation& w, trouble t)
+// Causes the failure `t` in the move of a task from cell a (the giver) to cell b (the receiver). A failure that passes
+// lasts 7 s.
+void cause_failure(flow_simulation& w, failure_kind t)
 {
     const auto owner = [&w](const char* cell) {
         for (int i = 0; i < 4; ++i) {
@@ -353,20 +363,20 @@
         return 0;
     };
     switch (t) {
-    case trouble::giver_killed:
+    case failure_kind::giver_killed:
         w.kill_entry(owner("a"));
         break;
-    case trouble::giver_frozen: {
+    case failure_kind::giver_paused: {
         const int giver = owner("a");
         w.pause_entry(giver);
         w.run_for(7s);
         w.resume_entry(giver);
         break;
     }
-    case trouble::receiver_killed:
+    case failure_kind::receiver_killed:
         w.kill_entry(owner("b"));
         break;
-    case trouble::receiver_cut_off: {
+    case failure_kind::receiver_cut_off: {
         const int receiver = owner("b");
         w.cut_entry_from_peers(receiver, true);
         w.cut_entry_from_table(receiver, true);
@@ -375,7 +385,7 @@
         w.cut_entry_from_table(receiver, false);
         break;
     }
-    case trouble::answers_lost:
+    case failure_kind::answers_lost:
         w.drop_next_table_answers(3);
         break;
     }
@@ -383,23 +393,24 @@
 
 } // namespace
 
-// A task on its way from one cell to another is lost, or starts in both, when something fails at the wrong moment.
+// Guards against losing a task that moves between cells, or starting it in both, when a failure occurs during the move.
 BOOST_AUTO_TEST_CASE(a_task_that_moves_runs_once_whatever_fails_at_any_moment_of_it)
 {
-    // From the first give-away to the receiver's start: the giver's write, the message, the receiver's claim, an order.
+    // From the first give-away to the receiver's start: the giver's write, its message, the receiver's claim of the
+    // task and the start command.
     constexpr duration whole_move = 100ms;
-    constexpr duration step = 4ms; // shorter than the way of any message or write
-    for (const trouble t : {trouble::giver_killed, trouble::giver_frozen, trouble::receiver_killed,
-                            trouble::receiver_cut_off, trouble::answers_lost}) {
+    constexpr duration step = 4ms; // shorter than the latency of any message or write
+    for (const failure_kind t : {failure_kind::giver_killed, failure_kind::giver_paused, failure_kind::receiver_killed,
+                                 failure_kind::receiver_cut_off, failure_kind::answers_lost}) {
         for (duration after{0}; after < whole_move; after += step) {
-            BOOST_TEST_CONTEXT("trouble " << static_cast<int>(t) << " after " << after.count() / 1000 << " ms")
+            BOOST_TEST_CONTEXT("failure " << static_cast<int>(t) << " after " << after.count() / 1000 << " ms")
             {
-                flow_simulation w(crowded());
+                flow_simulation w(overloaded_site());
                 w.run_for(2s);
                 w.insert_unannounced_job(job_a, cell_id("a"), chain_spec(1, 24, 3000));
                 BOOST_REQUIRE(w.run_until([&] { return w.count_log_events("task", "given_away") > 0; }, 10s));
                 w.run_for(after);
-                bring(w, t);
+                cause_failure(w, t);
                 BOOST_TEST(w.run_until([&] { return w.stored_outcome(job_a) == 1; }, 60s));
                 check_no_violations(w);
             }
--- a/tests/test_flow_crash.cpp
+++ b/tests/test_flow_crash.cpp
@@ -1,4 +1,5 @@
-// Tasks that crash the workers they are started on, and those that were beside them, in virtual time.
+// Tests, in simulated time, that a task whose runs crash their workers is given up (its job fails), and that tasks that
+// ran on the same workers are not.
 #include <boost/test/unit_test.hpp>
 
 #include <fmt/format.h>
@@ -17,26 +18,29 @@
 const std::string job_a = "00000000000000aa";
 const std::string job_b = "00000000000000bb";
 const flow_task_id culprit{job_id(job_a), 0, 0, 0};
-// A worker's lease, its next life and a start, for each crash that a task may cause before it is given up.
-constexpr duration given_up_within = 60s;
-constexpr int crashes_least = 2; // before a task may be given up
+// For each crash that a task may cause before it is given up: a worker's lease, the worker's restart and a task start.
+constexpr duration give_up_limit = 60s;
+constexpr int min_crashes = 2; // that a task must have caused before it is given up
 
-// More seeds by hand: test_flow_crash --run_test=NAME -- FIRST LAST
-void each_seed(std::uint64_t last, const std::function<void(std::uint64_t)>& play)
+// Calls `run` for the seeds 1 to `last`, or for those given on the command line:
+// test_flow_crash --run_test=NAME -- FIRST LAST
+void each_seed(std::uint64_t last, const std::function<void(std::uint64_t)>& run)
 {
     const auto& arguments = boost::unit_test::framework::master_test_suite();
-    const bool by_hand = arguments.argc == 3;
-    const std::uint64_t first = by_hand ? std::stoull(arguments.argv[1]) : 1;
-    for (std::uint64_t seed = first; seed <= (by_hand ? std::stoull(arguments.argv[2]) : last); ++seed) {
+    const bool from_arguments = arguments.argc == 3;
+    const std::uint64_t first = from_arguments ? std::stoull(arguments.argv[1]) : 1;
+    for (std::uint64_t seed = first; seed <= (from_arguments ? std::stoull(arguments.argv[2]) : last); ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            play(seed);
+            run(seed);
         }
     }
 }
 
+// Returns after which time a started run crashes its worker, or nothing if it does not.
 using crash_rule = std::function<std::optional<duration>(const flow_task_id&, const start_run&)>;
 
+// Every run of `task` crashes its worker at the age `age`.
 crash_rule crashes_after(const flow_task_id& task, duration age)
 {
     return [task, age](const flow_task_id& started, const start_run&) {
@@ -49,8 +53,9 @@
     return w.state(entry, job) == flow_state::failed;
 }
 
-// One task that crashes its workers, in a step as `change` makes it; bystanders run beside it.
-void play_culprit(flow_simulation::options options, const std::function<void(flow_step&)>& change)
+// Runs a job of which one task crashes its workers, in a step modified by `change`, beside the lasting tasks of another
+// job. Checks that the first job fails and that the other one keeps running.
+void check_culprit_fails(flow_simulation::options options, const std::function<void(flow_step&)>& change)
 {
     flow_simulation w(std::move(options));
     w.run_for(2s);
@@ -58,8 +63,8 @@
     flow_spec spec = chain_spec(1, 4, 2000);
     change(spec.steps.front());
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
-    BOOST_TEST(w.crash_count_of(culprit) >= crashes_least);
+    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, give_up_limit));
+    BOOST_TEST(w.crash_count_of(culprit) >= min_crashes);
     w.run_for(20s);
     BOOST_TEST(w.count_running_tasks(job_a) == 0);
     BOOST_TEST(w.count_running_tasks(job_b) == 4);
@@ -77,21 +82,21 @@
 
 } // namespace
 
-// A task that crashes each worker it starts on is started for ever.
+// Guards against starting a task again without end when it crashes each worker it runs on.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up)
 {
     flow_simulation w(culprit_options(10ms));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_b, chain_spec(20, 4)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 24)) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
+    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, give_up_limit));
     BOOST_TEST(has_failed(w, 1, job_a));
-    BOOST_TEST(w.crash_count_of(culprit) >= crashes_least);
-    BOOST_TEST(w.run_until([&] { return w.state(0, job_b) == flow_state::done; }, given_up_within));
+    BOOST_TEST(w.crash_count_of(culprit) >= min_crashes);
+    BOOST_TEST(w.run_until([&] { return w.state(0, job_b) == flow_state::done; }, give_up_limit));
     check_no_violations(w);
 }
 
-// The crashes under a task are forgotten when its cell changes owners.
+// Guards against losing the crash count of a task when its cell gets another owner.
 BOOST_AUTO_TEST_CASE(crashes_under_a_task_outlast_the_owner_of_its_cell)
 {
     flow_simulation::options options = culprit_options(10ms);
@@ -114,7 +119,7 @@
     check_no_violations(w);
 }
 
-// A run that ends with its worker is charged to nobody, in one kind of step or another.
+// Guards against a kind of step in which a run that ends with its worker's crash is not counted.
 BOOST_AUTO_TEST_CASE(a_task_that_crashes_its_workers_is_given_up_in_every_kind_of_step)
 {
     const std::vector<std::pair<const char*, std::function<void(flow_step&)>>> kinds{
@@ -132,32 +137,32 @@
             flow_simulation::options options = culprit_options(10ms);
             options.gang_start_barrier = true;
             options.gang_timeouts_allowed = true;
-            play_culprit(std::move(options), change);
+            check_culprit_fails(std::move(options), change);
         }
     }
 }
 
-// A lasting task is at work for a while before it crashes its worker, each time.
+// A lasting task (one that runs until it is stopped) crashes its worker 5 s after each start.
 BOOST_AUTO_TEST_CASE(a_lasting_task_that_crashes_its_workers_late_is_given_up)
 {
-    play_culprit(culprit_options(5s), [](flow_step& s) { s.lasting = true; });
+    check_culprit_fails(culprit_options(5s), [](flow_step& s) { s.lasting = true; });
 }
 
-// The worker is away for longer than a lease, so that its runs are taken for lapsed.
+// Each crashed worker restarts after 9 s, longer than a lease, so that its runs are taken for expired.
 BOOST_AUTO_TEST_CASE(a_crash_counts_when_the_worker_comes_back_after_its_leases)
 {
     flow_simulation::options options = culprit_options(10ms);
     options.crash_restart_delay = 9s;
-    play_culprit(std::move(options), [](flow_step&) {});
+    check_culprit_fails(std::move(options), [](flow_step&) {});
 }
 
-// The start itself is never answered, since it takes the worker along.
+// The start command gets no answer because the run crashes the worker at once.
 BOOST_AUTO_TEST_CASE(a_start_that_is_not_answered_counts_as_well)
 {
-    play_culprit(culprit_options(0ms), [](flow_step&) {});
+    check_culprit_fails(culprit_options(0ms), [](flow_step&) {});
 }
 
-// Every task of a step crashes its worker, all in the same moment.
+// All tasks of a step crash their workers 10 ms after their start.
 BOOST_AUTO_TEST_CASE(a_job_all_of_whose_tasks_crash_their_workers_is_given_up)
 {
     flow_simulation::options options = culprit_options(10ms);
@@ -167,11 +172,11 @@
     flow_simulation w(std::move(options));
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, job_a, chain_spec(1, 24)) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
+    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, give_up_limit));
     check_no_violations(w);
 }
 
-// An occurrence of a timed job crashes its workers; its count is its own.
+// The second occurrence of a job that repeats every 2 s crashes its workers; crashes are counted per occurrence.
 BOOST_AUTO_TEST_CASE(an_occurrence_that_crashes_its_workers_is_given_up)
 {
     const flow_task_id second{job_id(job_a), 1, 0, 0};
@@ -184,13 +189,13 @@
     spec.first_due = wall_time((w.now() + 1s).time_since_epoch());
     spec.interval = 2s;
     BOOST_REQUIRE(w.submit(0, job_a, spec) == caller_result::accepted);
-    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, given_up_within));
-    BOOST_TEST(w.crash_count_of(second) >= crashes_least);
+    BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job_a); }, give_up_limit));
+    BOOST_TEST(w.crash_count_of(second) >= min_crashes);
     check_no_violations(w);
 }
 
-// A task crashes its worker whenever it starts from its checkpoint; from the beginning it does well.
-BOOST_AUTO_TEST_CASE(a_checkpoint_that_crashes_its_workers_is_left_aside)
+// A task crashes its worker whenever it starts from its checkpoint, and succeeds when it starts without one.
+BOOST_AUTO_TEST_CASE(a_checkpoint_that_crashes_its_workers_is_not_used_again)
 {
     flow_simulation::options options = culprit_options(10ms);
     options.worker_crash_delay = [](const flow_task_id& task, const start_run& start) {
@@ -211,12 +216,12 @@
     row.cell = "a";
     row.cell_epoch = 1;
     w.put_job_row(accepted_row(cell_id("a"), job_id(job_a)), row);
-    BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, given_up_within));
-    BOOST_TEST(w.crash_count_of(culprit) >= crashes_least);
+    BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, give_up_limit));
+    BOOST_TEST(w.crash_count_of(culprit) >= min_crashes);
     check_no_violations(w);
 }
 
-// Workers crash one after another by themselves, and innocent tasks are given up for it.
+// Guards against giving up tasks because their workers crash, one every 1.5 s, for reasons of their own.
 BOOST_AUTO_TEST_CASE(no_task_is_given_up_for_crashes_of_its_workers)
 {
     each_seed(6, [](std::uint64_t seed) {
@@ -238,7 +243,7 @@
     });
 }
 
-// A seventh of the workers crashes at once, again and again.
+// Guards against giving up tasks because up to a seventh of the workers crashes at once, every 4 s.
 BOOST_AUTO_TEST_CASE(no_task_is_given_up_for_crashes_of_many_workers_at_once)
 {
     each_seed(4, [](std::uint64_t seed) {
@@ -262,15 +267,15 @@
     });
 }
 
-// A task that crashes its workers takes those beside it along, and these are given up in its stead.
+// Guards against giving up tasks that only ran on the same worker as a task that crashed it.
 BOOST_AUTO_TEST_CASE(no_task_is_given_up_for_what_ran_beside_it)
 {
     const std::vector<std::string> culprits{"00000000000000c1", "00000000000000c2", "00000000000000c3"};
     flow_simulation::options options = culprit_options(10ms);
     options.workers_per_data_centre = 3;
     options.worker_crash_delay = [](const flow_task_id& task, const start_run&) {
-        const bool guilty = task.job.str().substr(14, 1) == "c" && task.index == 1;
-        return guilty ? std::optional<duration>(10ms) : std::nullopt;
+        const bool crashes = task.job.str().substr(14, 1) == "c" && task.index == 1;
+        return crashes ? std::optional<duration>(10ms) : std::nullopt;
     };
     flow_simulation w(std::move(options));
     w.run_for(2s);
@@ -280,19 +285,19 @@
         BOOST_REQUIRE(w.submit(0, job, chain_spec(1, 3, 500)) == caller_result::accepted);
     }
     for (const std::string& job : culprits) {
-        BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job); }, given_up_within));
+        BOOST_TEST(w.run_until([&] { return has_failed(w, 0, job); }, give_up_limit));
     }
-    BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, given_up_within));
+    BOOST_TEST(w.run_until([&] { return w.state(0, job_a) == flow_state::done; }, give_up_limit));
     BOOST_TEST(w.count_running_tasks(job_b) == 6);
     check_no_violations(w);
 }
 
-// Tasks of several jobs crash workers within moments of each other: taken for workers that go at once by a cause of
-// their own, no task is charged, and each is started more often than it may be.
+// Tasks of several jobs crash workers at nearly the same time. If these crashes are taken for a common failure of the
+// workers, no task's crash count rises and each task is started more often than allowed.
 BOOST_AUTO_TEST_CASE(tasks_of_several_jobs_that_crash_workers_at_once_are_each_given_up)
 {
     constexpr int jobs = 12;
-    constexpr int crashing_each = 2; // of a job's tasks
+    constexpr int crashing_tasks = 2; // tasks of each job
     each_seed(8, [](std::uint64_t seed) {
         flow_simulation::options options;
         options.seed = seed;
@@ -300,7 +305,7 @@
         options.crash_restart_delay = 3s;
         options.run_time = [](const flow_task_id&) { return duration(1s); };
         options.worker_crash_delay = [](const flow_task_id& task, const start_run&) {
-            return task.index < crashing_each ? std::optional<duration>(10ms) : std::nullopt;
+            return task.index < crashing_tasks ? std::optional<duration>(10ms) : std::nullopt;
         };
         flow_simulation w(std::move(options));
         w.run_for(2s);
@@ -315,7 +320,7 @@
                 return std::all_of(names.begin(), names.end(),
                                    [&](const std::string& job) { return has_failed(w, 0, job); });
             },
-            given_up_within));
+            give_up_limit));
         check_no_violations(w);
     });
 }
--- a/tests/test_flow_moves.cpp
+++ b/tests/test_flow_moves.cpp
@@ -1,4 +1,5 @@
-// Tasks that move to another cell: because their worker leaves, or because their own cell has no room for them.
+// Tests of tasks that move to another cell because their worker is draining or because their own cell has no free
+// capacity. Lasting tasks run until they are stopped; filling tasks use spare capacity.
 #include <boost/test/unit_test.hpp>
 
 #include <algorithm>
@@ -18,11 +19,11 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(what_lasts_leaves_a_full_cell_before_its_worker_goes)
+BOOST_AUTO_TEST_CASE(lasting_tasks_leave_a_full_cell_before_their_draining_worker_stops)
 {
-    // A worker says that it leaves while all others of its cell are full. Its tasks that last stayed until it was gone
-    // and were away for the rest of their lease and the wait for room, more than nine seconds, with half of the site
-    // idle: only workers of the same cell were looked at for them.
+    // A worker drains while all other workers of its cell are full. If only workers of the same cell are considered,
+    // its lasting tasks stay until the worker is gone and then do not run for the rest of their lease and the wait for
+    // free capacity, more than 9 s, although half of the site is idle.
     flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 2});
     w.run_for(2s);
     w.insert_unannounced_job(job_a, cell_id("a"), lasting_spec(8, 4000));
@@ -39,11 +40,12 @@
     check_no_violations(w);
 }
 
-// A task that is given away while its new cell still reads the rows of its job is lost sight of.
+// Guards against losing a task that is given to a cell whose owner is still reading the rows of the task's job.
 BOOST_AUTO_TEST_CASE(news_that_come_while_a_jobs_rows_are_read_are_not_lost)
 {
-    constexpr duration latency = 200ms; // of the table: a new cell reads three times, and writes before it starts
-    constexpr duration given_most = 2500ms;
+    constexpr duration latency =
+        200ms; // of the table; the receiving cell reads three times and writes once before it starts a task
+    constexpr duration max_restart_time = 2500ms;
     for (duration phase{0}; phase < 2s; phase += 400ms) {
         for (duration apart{0}; apart <= 1s; apart += 50ms) {
             BOOST_TEST_CONTEXT("after " << phase.count() / 1000 << " ms, " << apart.count() / 1000 << " ms apart")
@@ -60,7 +62,7 @@
                 w.fail_run({job_id(job_a), 0, 0, 0});
                 w.run_for(apart);
                 w.fail_run({job_id(job_a), 0, 0, 1});
-                BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 2; }, given_most));
+                BOOST_TEST(w.run_until([&] { return w.count_running_tasks(job_a) == 2; }, max_restart_time));
                 check_no_violations(w);
             }
         }
@@ -69,10 +71,11 @@
 
 BOOST_AUTO_TEST_CASE(a_lasting_task_finds_room_beside_short_work_that_always_waits)
 {
-    // Workers have left, and the site is full. A lasting task ends, and nothing runs in its place for as long as short
-    // tasks wait anywhere: its own cell holds nothing but lasting tasks, so it goes nowhere, and where short tasks come
-    // and go each takes at once what another gives back, which is less than the lasting task needs.
-    constexpr duration placed_most = 4s; // a wait before it is given away, one before a worker is reserved, short runs
+    // A worker is unlisted and the site is full when a lasting task ends. The task must be started again although short
+    // tasks wait: its own cell runs only lasting tasks and so frees no capacity, and in the other cell each waiting
+    // short task takes the capacity of an ended one, which is less than the lasting task needs.
+    constexpr duration max_placement_time =
+        4s; // the waits before the task is given away and before a worker is reserved, and short runs
     flow_simulation w(
         {.data_centres = {"a", "b"}, .workers_per_data_centre = 2, .run_time = [](const flow_task_id& task) {
              return task.job.str() == job_a ? duration(500ms + task.index % 7 * 60ms) : duration(300ms);
@@ -85,22 +88,23 @@
     w.insert_unannounced_job(job_a, cell_id("b"), chain_spec(1, 200, 3500));
     w.run_for(3s);
     BOOST_REQUIRE(w.count_running_tasks(job_a) >= 3);
-    w.set_worker_unlisted(0, true); // what runs there goes on, nothing more is started
+    w.set_worker_unlisted(0, true); // its tasks continue, no more are started there
     w.run_for(1500ms);
     const flow_task_id ended{job_id(job_b), 0, 0, w.worker(0).running.begin()->first.index};
     w.fail_run(ended);
-    w.run_for(placed_most);
+    w.run_for(max_placement_time);
     BOOST_TEST(w.count_running_tasks(job_b) == 8);
     BOOST_TEST(w.count_running_tasks(job_a) > 0);
     check_no_violations(w);
 }
 
-BOOST_AUTO_TEST_CASE(filling_work_that_no_cell_can_place_does_not_go_round)
+BOOST_AUTO_TEST_CASE(filling_tasks_that_no_cell_can_place_do_not_circulate)
 {
-    // Filling tasks wait in every cell. Each was given away to the next one once a second, as often as all tasks that
-    // ran were started, and every move is a write of a row that all their cells' owners write.
+    // Filling tasks wait in every cell. Giving each of them to the next cell once a second causes as many moves as
+    // there are task starts, and every move writes a row to which the owners of all these cells write.
     constexpr std::int64_t waiting = 16;
-    constexpr std::int64_t moves_most = 4; // within the time below, each after twice the wait of the one before
+    constexpr std::int64_t max_moves_per_task =
+        4; // of one task within the 12 s below; each wait is twice the one before
     flow_simulation w({.data_centres = {"a", "b"}, .workers_per_data_centre = 2, .run_time = [](const flow_task_id&) {
                            return duration(30s);
                        }});
@@ -111,15 +115,16 @@
     w.insert_unannounced_job(job_a, cell_id("a"), filling);
     w.run_for(12s);
     BOOST_TEST(w.count_running_tasks(job_a) == 4);
-    BOOST_TEST(w.count_log_events("task", "given_away") <= waiting * moves_most + 2);
+    BOOST_TEST(w.count_log_events("task", "given_away") <= waiting * max_moves_per_task + 2);
     check_no_violations(w);
 }
 
-BOOST_AUTO_TEST_CASE(a_job_of_which_nothing_runs_does_not_wait_for_a_place_that_bears_it)
+BOOST_AUTO_TEST_CASE(a_job_of_which_nothing_runs_does_not_wait_for_a_less_loaded_worker)
 {
-    // Filling tasks wait where serving tasks bear no more of them. The first task of a step waited as long as the last,
-    // twelve seconds, and again in each cell that it was given to: with nothing of its job running, and room for it.
-    constexpr duration idle_most = 3s;
+    // Filling tasks wait because more of them would slow down the serving tasks beside them. The first task of a step
+    // must not wait as long as the last one, 12 s in each cell that it is given to, while no task of its job runs and
+    // there is capacity for it.
+    constexpr duration max_idle_time = 3s;
     flow_simulation w(
         {.data_centres = {"a", "b"}, .workers_per_data_centre = 2, .run_time = [](const flow_task_id& task) {
              return task.job.str() == job_b ? duration(60s) : duration(300ms);
@@ -143,15 +148,15 @@
     w.run_for(2s);
     BOOST_REQUIRE(w.count_running_tasks(job_b) < 40);
     w.insert_unannounced_job(job_a, cell_id("a"), filling(3, 4));
-    instant ran = w.now();
+    instant last_running_at = w.now();
     duration idle(0);
     const instant end = w.now() + 60s;
     while (w.stored_outcome(job_a) == 0 && w.now() < end) {
         w.run_for(20ms);
-        ran = w.count_running_tasks(job_a) > 0 ? w.now() : ran;
-        idle = std::max(idle, w.now() - ran);
+        last_running_at = w.count_running_tasks(job_a) > 0 ? w.now() : last_running_at;
+        idle = std::max(idle, w.now() - last_running_at);
     }
     BOOST_TEST(w.stored_outcome(job_a) == 1);
-    BOOST_TEST(idle.count() <= idle_most.count());
+    BOOST_TEST(idle.count() <= max_idle_time.count());
     check_no_violations(w);
 }
--- a/tests/test_flow_takeover.cpp
+++ b/tests/test_flow_takeover.cpp
@@ -1,4 +1,6 @@
-// What a follower knows of the runs that the owner before it started, and for which of them it must wait.
+// Tests of takeovers: an entry becomes owner of a cell after another owner stopped or was killed. The new owner must
+// learn which tasks the previous owner started, and must wait for the end of a worker's leases only where a task may
+// still run. Lasting tasks are tasks that run until they are stopped.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -16,16 +18,16 @@
 
 const std::vector<std::string> jobs{"00000000000000aa", "00000000000000bb", "00000000000000cc"};
 constexpr int tasks_each = 4;
-constexpr int tasks_all = 3 * tasks_each;
-// From the owner's last word until another entry has the cell and has read the rows of its jobs.
-constexpr duration takeover_most = 4s;
-// From then on: the list of workers, the claim of the job, the write that tells of the start, the start.
-constexpr duration start_most = 1s;
-// From a worker's last exchange until every lease that was given to it has certainly ended: a lease with its margin.
-constexpr duration lease_most = 6400ms;
-// From the owner's last word until what runs unseen has ended and started again: the time in which an owner may still
-// give a lease, as its follower knows it, a lease with its margin, and the start.
-constexpr duration lapsed_most = 12s;
+constexpr int all_tasks = 3 * tasks_each;
+// From the owner's last message until another entry owns the cell and has read the rows of its jobs.
+constexpr duration max_takeover_time = 4s;
+// After that: reading the worker list, claiming the job, the write that records the start, and the start.
+constexpr duration max_start_time = 1s;
+// From a worker's last exchange until all its leases have ended: one lease with its safety margin.
+constexpr duration max_lease_time = 6400ms;
+// From the owner's last message until tasks on unreachable workers have ended and run again: the time in which the
+// owner may still have renewed a lease, one lease with its safety margin, and the start.
+constexpr duration max_restart_time = 12s;
 
 int owner_of(flow_simulation& w)
 {
@@ -45,7 +47,7 @@
     return tasks;
 }
 
-// Workers on which tasks run, in the order of their numbers.
+// Returns the numbers of the workers on which tasks run, in ascending order.
 std::vector<int> busy_workers(flow_simulation& w)
 {
     std::vector<int> busy;
@@ -57,7 +59,7 @@
     return busy;
 }
 
-// Tasks that run on a worker which can be asked.
+// Returns the tasks that run on reachable workers.
 std::set<flow_task_id> running_tasks(flow_simulation& w)
 {
     std::set<flow_task_id> running;
@@ -69,31 +71,32 @@
     return running;
 }
 
-// Of all jobs.
+// Counts the task starts of all jobs.
 std::int64_t count_starts(const flow_simulation& w)
 {
     return std::accumulate(jobs.begin(), jobs.end(), std::int64_t{0},
                            [&w](std::int64_t n, const std::string& job) { return n + w.count_job_starts(job); });
 }
 
+// Submits all jobs, each with `tasks_each` lasting tasks, and waits until all tasks run.
 void start_lasting_jobs(flow_simulation& w)
 {
     w.run_for(2s);
     for (const std::string& job : jobs) {
         BOOST_REQUIRE(w.submit(0, job, lasting_spec(tasks_each, 4000)) == caller_result::accepted);
     }
-    BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == tasks_all; }, 5s));
+    BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == all_tasks; }, 5s));
     w.run_for(2s);
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(a_silent_worker_holds_up_no_task_that_was_not_on_it)
+BOOST_AUTO_TEST_CASE(an_unreachable_worker_delays_only_tasks_that_may_run_on_it)
 {
-    // Tasks that last have ended, and none runs in their place for 11 s, with room all around. Their owner is killed or
-    // stands still; in that moment one worker crashes for good or is cut off, another one begins its next life, and a
-    // task fails on a third. The follower cannot ask the first one. Unless it can tell which tasks may be there, all
-    // tasks of all jobs wait until every lease has ended; only those that may be there have to.
+    // The owner is killed or paused while one worker crashes for good or is cut off, another one crashes and restarts,
+    // and a task fails on a third. The new owner cannot reach the first worker. If it does not know which tasks may run
+    // there, all ended tasks wait 11 s until every lease has ended, although there is free capacity; only the tasks
+    // that may run on the unreachable worker have to wait.
     for (int round = 0; round < 16; ++round) {
         BOOST_TEST_CONTEXT("round " << round)
         {
@@ -104,8 +107,8 @@
             w.run_for(250ms * (round / 4));
             const std::vector<int> busy = busy_workers(w);
             BOOST_REQUIRE(busy.size() >= 3);
-            const int silent = busy.at(0);
-            const std::set<flow_task_id> unseen = tasks_on(w, silent);
+            const int unreachable = busy.at(0);
+            const std::set<flow_task_id> possibly_running = tasks_on(w, unreachable);
             const int owner = owner_of(w);
             if (killed) {
                 w.kill_entry(owner);
@@ -114,28 +117,29 @@
                 w.pause_entry(owner);
             }
             if (cut_off) {
-                w.worker(silent).reachable = false;
+                w.worker(unreachable).reachable = false;
             }
             else {
-                w.crash_worker(silent, false);
+                w.crash_worker(unreachable, false);
             }
             w.crash_worker(busy.at(1), true);
             w.fail_run(*tasks_on(w, busy.at(2)).begin());
-            w.run_for(takeover_most + start_most);
+            w.run_for(max_takeover_time + max_start_time);
             std::set<flow_task_id> accounted = running_tasks(w);
-            accounted.insert(unseen.begin(), unseen.end());
-            BOOST_TEST(accounted.size() == tasks_all);
+            accounted.insert(possibly_running.begin(), possibly_running.end());
+            BOOST_TEST(accounted.size() == all_tasks);
             if (!killed) {
                 w.resume_entry(owner);
             }
-            w.run_for(lapsed_most - takeover_most - start_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            w.run_for(max_restart_time - max_takeover_time - max_start_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             check_no_violations(w);
         }
     }
 }
 
-// Tasks of a worker that is gone wait out one lease, not one for each owner that the cell has meanwhile.
+// Tasks of a worker that crashed for good must wait for the end of one lease, not of one per owner that the cell has in
+// the meantime.
 BOOST_AUTO_TEST_CASE(owners_that_are_restarted_in_turn_wait_out_one_lease)
 {
     for (const int restarts : {1, 2, 3}) {
@@ -143,7 +147,7 @@
         {
             flow_simulation w({.entries_per_data_centre = 4, .workers_per_data_centre = 6});
             start_lasting_jobs(w);
-            const instant gone_at = w.now();
+            const instant crashed_at = w.now();
             w.crash_worker(busy_workers(w).front(), false);
             for (int i = 0; i < restarts; ++i) {
                 w.run_for(1500ms);
@@ -151,24 +155,25 @@
                 w.shut_down_entry(owner);
                 w.start_entry(owner);
             }
-            w.run_for(gone_at + lease_most + start_most - w.now());
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
-            w.run_for(lapsed_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            w.run_for(crashed_at + max_lease_time + max_start_time - w.now());
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
+            w.run_for(max_restart_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             check_no_violations(w);
         }
     }
 }
 
-// The same where the owners are killed: the next one knows only what the row tells.
-BOOST_AUTO_TEST_CASE(an_owner_that_is_killed_leaves_word_of_the_workers_it_cannot_reach)
+// When the owner is killed, the next owner learns only from the cell's row which workers were unreachable and since
+// when. Guards against a new wait of a whole lease for a worker that crashed before the takeover.
+BOOST_AUTO_TEST_CASE(a_killed_owner_has_recorded_which_workers_are_unreachable)
 {
     for (const bool starts_again : {false, true}) {
         BOOST_TEST_CONTEXT((starts_again ? "starts again" : "stays away"))
         {
             flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
             start_lasting_jobs(w);
-            const instant gone_at = w.now();
+            const instant crashed_at = w.now();
             w.crash_worker(busy_workers(w).front(), false);
             w.run_for(4s);
             const int owner = owner_of(w);
@@ -177,16 +182,17 @@
                 w.run_for(500ms);
                 w.start_entry(owner);
             }
-            w.run_for(gone_at + 4s + takeover_most + start_most - w.now());
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
-            w.run_for(lapsed_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            w.run_for(crashed_at + 4s + max_takeover_time + max_start_time - w.now());
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
+            w.run_for(max_restart_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             check_no_violations(w);
         }
     }
 }
 
-// A follower goes by the word of a silence that is over, and starts anew what runs on.
+// Guards against a new owner that relies on an outdated record of a worker as unreachable: the worker answers again,
+// and starting its tasks elsewhere would run them twice.
 BOOST_AUTO_TEST_CASE(a_worker_that_answers_again_is_waited_for_as_any_other)
 {
     for (int round = 0; round < 24; ++round) {
@@ -194,10 +200,10 @@
         {
             flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
             start_lasting_jobs(w);
-            const int silent = busy_workers(w).front();
-            w.worker(silent).reachable = false;
+            const int unreachable = busy_workers(w).front();
+            w.worker(unreachable).reachable = false;
             w.run_for(3500ms);
-            w.worker(silent).reachable = true;
+            w.worker(unreachable).reachable = true;
             w.run_for(100ms * round);
             const int owner = owner_of(w);
             if (round % 2 == 0) {
@@ -206,19 +212,19 @@
             else {
                 w.shut_down_entry(owner);
             }
-            w.worker(silent).reachable = false;
-            w.run_for(lapsed_most + start_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
-            w.worker(silent).reachable = true;
-            w.run_for(lapsed_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            w.worker(unreachable).reachable = false;
+            w.run_for(max_restart_time + max_start_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
+            w.worker(unreachable).reachable = true;
+            w.run_for(max_restart_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             check_no_violations(w);
         }
     }
 }
 
-// A worker that was out of reach for a moment is given no lease any more, and its runs lapse.
-BOOST_AUTO_TEST_CASE(a_worker_that_answers_again_goes_on_with_what_it_runs)
+// Guards against not renewing the leases of workers that were unreachable for 3.5 s, so that their runs would expire.
+BOOST_AUTO_TEST_CASE(a_worker_that_answers_again_keeps_its_runs)
 {
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
     start_lasting_jobs(w);
@@ -230,17 +236,17 @@
     for (int i = 0; i < w.worker_count(); ++i) {
         w.worker(i).reachable = true;
     }
-    w.run_for(2 * lapsed_most);
-    BOOST_TEST(running_tasks(w).size() == tasks_all);
+    w.run_for(2 * max_restart_time);
+    BOOST_TEST(running_tasks(w).size() == all_tasks);
     BOOST_TEST(count_starts(w) == started);
     BOOST_REQUIRE(w.submit(0, "00000000000000dd", lasting_spec(tasks_each, 4000)) == caller_result::accepted);
-    w.run_for(start_most);
-    BOOST_TEST(running_tasks(w).size() == tasks_all + tasks_each);
+    w.run_for(max_start_time);
+    BOOST_TEST(running_tasks(w).size() == all_tasks + tasks_each);
     check_no_violations(w);
 }
 
-// What runs in a cell lapses while its new owner reads the rows of the cell's jobs over a narrow link.
-BOOST_AUTO_TEST_CASE(no_run_lapses_while_a_new_owner_reads)
+// Guards against leases that expire while a new owner reads the rows of the cell's jobs over a slow link.
+BOOST_AUTO_TEST_CASE(no_run_expires_while_a_new_owner_reads)
 {
     for (const bool planned : {false, true}) {
         BOOST_TEST_CONTEXT((planned ? "stopped by plan" : "killed"))
@@ -251,7 +257,7 @@
             for (const std::string& job : jobs) {
                 BOOST_REQUIRE(w.submit(0, job, lasting_spec(tasks_each, 4000)) == caller_result::accepted);
             }
-            BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == tasks_all; }, 5s));
+            BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == all_tasks; }, 5s));
             w.run_for(2s);
             const std::int64_t started = count_starts(w);
             const int owner = owner_of(w);
@@ -261,17 +267,18 @@
             else {
                 w.kill_entry(owner);
             }
-            w.run_for(2 * lapsed_most);
+            w.run_for(2 * max_restart_time);
             BOOST_TEST(w.count_owners("a") == 1);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             BOOST_TEST(count_starts(w) == started);
             check_no_violations(w);
         }
     }
 }
 
-// Owners that are restarted in turn and take seconds to read their jobs give no leases meanwhile: what runs lapses.
-BOOST_AUTO_TEST_CASE(owners_in_a_row_that_read_slowly_keep_what_runs)
+// Owners are restarted in turn and take seconds to read the jobs. Guards against leases that expire because the owners
+// renew none while they read.
+BOOST_AUTO_TEST_CASE(no_run_expires_under_successive_owners_that_read_slowly)
 {
     for (const duration answer_delay : {0ms, 50ms, 150ms}) {
         BOOST_TEST_CONTEXT("answers after " << answer_delay.count() / 1000 << " ms")
@@ -289,16 +296,17 @@
                 w.start_entry(owner);
                 BOOST_REQUIRE(w.run_until([&w] { return w.count_owners("a") == 1; }, 4s));
             }
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
-            w.run_for(lapsed_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
+            w.run_for(max_restart_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             BOOST_TEST(count_starts(w) == started);
             check_no_violations(w);
         }
     }
 }
 
-// An owner that is told to stop while it reads its jobs reads on, and starts nothing: the cell waits for nothing.
+// Guards against an owner that is told to stop while it reads its jobs and finishes reading first, which
+// delays the takeover for nothing.
 BOOST_AUTO_TEST_CASE(an_owner_that_is_stopped_while_it_reads_hands_over_at_once)
 {
     flow_simulation w({.entries_per_data_centre = 4, .workers_per_data_centre = 6, .job_page_transfer_time = 160ms});
@@ -306,14 +314,14 @@
     start_lasting_jobs(w);
     w.shut_down_entry(owner_of(w));
     BOOST_REQUIRE(w.run_until([&w] { return w.count_owners("a") == 1; }, 4s));
-    const instant told = w.now();
+    const instant stop_requested_at = w.now();
     w.shut_down_entry(owner_of(w));
-    BOOST_TEST((w.now() - told).count() / 1000 <= 500);
+    BOOST_TEST((w.now() - stop_requested_at).count() / 1000 <= 500);
     check_no_violations(w);
 }
 
-// A lasting task ends as its owner is stopped, and each owner after it is stopped while it reads. It must run again
-// within 9 s of its end.
+// A lasting task ends as its owner is stopped, and each later owner is stopped while it reads its jobs. The task must
+// run again within 9 s of its end.
 BOOST_AUTO_TEST_CASE(a_task_that_ended_runs_again_though_owners_stop_while_they_read)
 {
     flow_simulation w({.entries_per_data_centre = 4, .workers_per_data_centre = 6, .job_page_transfer_time = 160ms});
@@ -329,19 +337,19 @@
         w.start_entry(owner);
         BOOST_REQUIRE(w.run_until([&w] { return w.count_owners("a") == 1; }, 4s));
     }
-    const auto all_run = [&w] { return running_tasks(w).size() == tasks_all; };
+    const auto all_run = [&w] { return running_tasks(w).size() == all_tasks; };
     BOOST_TEST(w.run_until(all_run, ended_at + 9s - w.now()));
     w.run_until(all_run, 10s);
     check_no_violations(w);
 }
 
-// The answer to a renewal is lost, and the release that follows is checked against the row before it: it is refused,
-// and not tried again. The cell is followed as if its owner had been killed.
+// The table's answer to an ownership renewal is lost. Guards against a release that is refused because it is checked
+// against the row as it was before the renewal: the cell would be taken over as late as after a killed owner.
 BOOST_AUTO_TEST_CASE(a_release_after_a_renewal_without_an_answer_is_in_force)
 {
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
     start_lasting_jobs(w);
-    const instant gone_at = w.now();
+    const instant crashed_at = w.now();
     w.crash_worker(busy_workers(w).front(), false);
     const int owner = owner_of(w);
     w.drop_next_table_answers(1);
@@ -357,15 +365,15 @@
     };
     BOOST_TEST(w.run_until(owned, 1500ms));
     w.run_until(owned, 10s);
-    w.run_for(gone_at + lease_most + start_most - w.now());
-    BOOST_TEST(running_tasks(w).size() == tasks_all);
-    w.run_for(lapsed_most);
-    BOOST_TEST(running_tasks(w).size() == tasks_all);
+    w.run_for(crashed_at + max_lease_time + max_start_time - w.now());
+    BOOST_TEST(running_tasks(w).size() == all_tasks);
+    w.run_for(max_restart_time);
+    BOOST_TEST(running_tasks(w).size() == all_tasks);
     check_no_violations(w);
 }
 
-// A process that has stopped before the write of its release is answered may end before it is sent: the cell is
-// followed as if its owner had been killed.
+// An entry may report that it has stopped only after the table has answered its releases. A process that ended earlier
+// might not have sent them, and the cell would be taken over as late as after a killed owner.
 BOOST_AUTO_TEST_CASE(an_entry_has_stopped_once_its_releases_are_answered)
 {
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
@@ -376,12 +384,13 @@
     check_no_violations(w);
 }
 
-// While the table is away no row can say that a worker answers again: it is given no lease, and what it runs lapses.
-BOOST_AUTO_TEST_CASE(a_worker_that_was_silent_for_a_moment_goes_on_while_the_table_is_away)
+// While the table is unreachable, no row can record that a worker answers again. Guards against not renewing the
+// worker's leases for that reason, so that its runs would expire.
+BOOST_AUTO_TEST_CASE(a_worker_unreachable_for_a_moment_keeps_its_runs_while_the_table_is_unreachable)
 {
-    for (const bool silent : {false, true}) {
+    for (const bool unreachable : {false, true}) {
         for (int round = 0; round < 10; ++round) {
-            BOOST_TEST_CONTEXT("round " << round << (silent ? " silent" : " reached"))
+            BOOST_TEST_CONTEXT("round " << round << (unreachable ? " unreachable" : " reached"))
             {
                 flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
                 start_lasting_jobs(w);
@@ -390,7 +399,7 @@
                 const int chosen = busy_workers(w).front();
                 w.set_table_down(true);
                 w.run_for(300ms);
-                w.worker(chosen).reachable = !silent;
+                w.worker(chosen).reachable = !unreachable;
                 w.run_for(1500ms);
                 w.worker(chosen).reachable = true;
                 w.run_for(5700ms);
@@ -403,7 +412,8 @@
     }
 }
 
-// A worker misses one exchange, and its owner is killed in the seconds after: its leases outlast the takeover.
+// A worker misses one exchange, and the owner is killed 1 to 2.5 s later. The worker's leases must last until the new
+// owner renews them.
 BOOST_AUTO_TEST_CASE(a_worker_that_missed_one_exchange_keeps_its_runs_over_a_takeover)
 {
     for (int round = 0; round < 16; ++round) {
@@ -412,22 +422,22 @@
             flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6, .table_latency = 120ms});
             start_lasting_jobs(w);
             const std::int64_t started = count_starts(w);
-            const int silent = busy_workers(w).front();
-            w.worker(silent).reachable = false;
+            const int unreachable = busy_workers(w).front();
+            w.worker(unreachable).reachable = false;
             w.run_for(60ms);
-            w.worker(silent).reachable = true;
+            w.worker(unreachable).reachable = true;
             w.run_for(1000ms + 100ms * round);
             w.kill_entry(owner_of(w));
-            w.run_for(lapsed_most);
-            BOOST_TEST(running_tasks(w).size() == tasks_all);
+            w.run_for(max_restart_time);
+            BOOST_TEST(running_tasks(w).size() == all_tasks);
             BOOST_TEST(count_starts(w) == started);
             check_no_violations(w);
         }
     }
 }
 
-// An owner that gives its cell up while the row is still its own, and takes it again, counts its own leases: the row's
-// name does not stem from a take whose answer was lost.
+// An owner gives up its cell while the cell's row still names it, and takes the cell again. It must wait for the leases
+// that it renewed itself; the row must not be mistaken for the result of a take whose answer was lost.
 BOOST_AUTO_TEST_CASE(an_owner_that_takes_its_own_row_again_waits_for_its_own_leases)
 {
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
@@ -435,33 +445,33 @@
     w.run_for(10s);
     const std::vector<int> busy = busy_workers(w);
     w.worker(busy.at(0)).reachable = false;
-    w.worker(busy.at(1)).fence = epoch(2); // a token that no owner of this row has sent
+    w.worker(busy.at(1)).fence = epoch(2); // a fencing token that no owner of this cell has sent
     w.run_for(4s);
     check_no_violations(w);
 }
 
-// A task that waits for a worker which cannot be asked leaves no trace of why.
-BOOST_AUTO_TEST_CASE(a_task_that_waits_says_for_what)
+// A task that waits for an unreachable worker must be logged with the reason.
+BOOST_AUTO_TEST_CASE(a_task_that_waits_logs_the_reason)
 {
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
     start_lasting_jobs(w);
     BOOST_TEST(w.count_log_events("task", "waits") == 0);
     w.crash_worker(busy_workers(w).front(), false);
     w.kill_entry(owner_of(w));
-    w.run_for(takeover_most + 2 * start_most);
+    w.run_for(max_takeover_time + 2 * max_start_time);
     BOOST_TEST(w.count_log_events("task", "waits") > 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_owner_that_stands_still_around_a_start_leaves_no_task_to_run_twice)
+BOOST_AUTO_TEST_CASE(an_owner_paused_around_a_start_causes_no_second_run)
 {
-    // An owner stands still at any moment from the choice of a worker to the worker's answer: before the table has the
-    // note of the start, before the owner knows that it has, before the start has left. The worker is cut off from the
-    // follower, then the owner goes on. It must not send a start that its follower could not read of, nor the follower
-    // start what may run there.
+    // An owner is paused at any moment from the choice of a worker to the worker's answer: before the table has the
+    // record of the start, before the owner knows that it has, or before the start is sent. The new owner cannot reach
+    // the worker, then the old owner is resumed. The old owner must not send a start that the new one could not read
+    // from the table, and the new owner must not start a task that may run on the worker.
     constexpr duration latest = 40ms; // after the submission; by then all tasks run
     for (duration offset = 1ms; offset < latest; offset += 1ms) {
-        for (const duration still : {1500ms, 2900ms, 6000ms}) {
-            BOOST_TEST_CONTEXT("after " << offset.count() << " us for " << still.count() << " us")
+        for (const duration pause : {1500ms, 2900ms, 6000ms}) {
+            BOOST_TEST_CONTEXT("after " << offset.count() << " us for " << pause.count() << " us")
             {
                 flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 3});
                 w.run_for(4s);
@@ -471,12 +481,12 @@
                 w.pause_entry(owner);
                 w.run_for(20ms);
                 w.worker(0).reachable = false;
-                w.run_for(still);
+                w.run_for(pause);
                 w.worker(0).reachable = true;
                 w.resume_entry(owner);
                 w.run_for(20ms);
                 w.worker(0).reachable = false;
-                w.run_for(lapsed_most);
+                w.run_for(max_restart_time);
                 if (!w.answers().at(jobs.front()).empty()) {
                     BOOST_TEST(running_tasks(w).size() == tasks_each);
                 }
@@ -486,11 +496,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_start_that_the_row_does_not_tell_is_not_sent)
+BOOST_AUTO_TEST_CASE(a_start_that_is_not_recorded_is_not_sent)
 {
-    // An owner that the table turns away hears that a task has failed, and could start it on another worker. Nobody
-    // could read of that start: the owner is killed, its follower cannot ask that worker and would start the task again
-    // beside it.
+    // An owner that cannot reach the table learns that tasks have failed. It must not start them again, because no
+    // other owner could read of that start: when the owner is killed, the next one cannot reach the worker either and
+    // would start the tasks a second time.
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
     start_lasting_jobs(w);
     const int owner = owner_of(w);
@@ -506,33 +516,33 @@
     for (int i = 0; i < w.worker_count(); ++i) {
         w.worker(i).reachable = i == failing;
     }
-    w.run_for(takeover_most + start_most);
+    w.run_for(max_takeover_time + max_start_time);
     for (int i = 0; i < w.worker_count(); ++i) {
         w.worker(i).reachable = true;
     }
-    w.run_for(lapsed_most);
-    BOOST_TEST(running_tasks(w).size() == tasks_all);
+    w.run_for(max_restart_time);
+    BOOST_TEST(running_tasks(w).size() == all_tasks);
     check_no_violations(w);
 }
 
-BOOST_AUTO_TEST_CASE(all_tasks_of_a_step_are_noted_with_one_write)
+BOOST_AUTO_TEST_CASE(all_starts_of_a_step_are_recorded_with_one_write)
 {
-    // A step's tasks start in one go. With a write for each the starts of a wide step would wait in line at the table.
+    // All tasks of a step start together. With one write per task the starts of a large step would queue at the table.
     flow_simulation w({.workers_per_data_centre = 6});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, jobs.front(), lasting_spec(12, 4000)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == 12; }, 5s));
     w.run_for(5s);
-    BOOST_TEST(w.job_writes() == 2); // one accepted the job
+    BOOST_TEST(w.job_writes() == 2); // one accepts the job, one records all starts
     check_no_violations(w);
 }
 
-BOOST_AUTO_TEST_CASE(a_worker_that_drains_while_a_start_is_noted_is_not_given_it)
+BOOST_AUTO_TEST_CASE(a_worker_that_drains_while_a_start_is_recorded_gets_no_start)
 {
-    // The table takes a second to note a start, and the chosen worker says meanwhile that it leaves. A task that was
-    // sent there all the same would end with it moments later.
-    for (int stays = 0; stays < 3; ++stays) {
-        BOOST_TEST_CONTEXT("all but worker " << stays)
+    // The table takes 1.2 s to record a start, and the chosen worker begins to drain meanwhile. A task that is started
+    // there nevertheless would end with the worker shortly afterwards.
+    for (int staying = 0; staying < 3; ++staying) {
+        BOOST_TEST_CONTEXT("draining all but worker " << staying)
         {
             flow_simulation w({.workers_per_data_centre = 3});
             w.run_for(2s);
@@ -545,64 +555,65 @@
             w.run_for(60ms);
             std::int64_t before = 0;
             for (int i = 0; i < w.worker_count(); ++i) {
-                w.worker(i).draining = i != stays;
-                before += i != stays ? w.worker(i).starts : 0;
+                w.worker(i).draining = i != staying;
+                before += i != staying ? w.worker(i).starts : 0;
             }
             w.run_for(8s);
             std::int64_t after = 0;
             for (int i = 0; i < w.worker_count(); ++i) {
-                after += i != stays ? w.worker(i).starts : 0;
+                after += i != staying ? w.worker(i).starts : 0;
             }
             BOOST_TEST(after == before);
-            BOOST_TEST(w.worker(stays).running.size() == 1);
+            BOOST_TEST(w.worker(staying).running.size() == 1);
             check_no_violations(w);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_task_that_waited_for_room_when_its_owner_died_needs_no_silent_worker)
+BOOST_AUTO_TEST_CASE(a_task_that_waited_for_capacity_does_not_wait_for_an_unreachable_worker)
 {
-    // A task that lasts has failed and waits for room, which its owner knows. The owner is killed, and the worker where
-    // the task ran crashes for good, with another task. Room comes free elsewhere: the follower must not take the ended
-    // run for one that may go on.
+    // A lasting task has failed and waits for free capacity. Its owner, which knows this, is killed, and the worker on
+    // which the task ran crashes for good. When capacity is freed elsewhere, the new owner must start the task and not
+    // wait for the worker as if the ended run might still be there.
     flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 3});
-    w.run_for(42s); // no work that ends has come for so long that tasks that last may have nearly all the room
+    w.run_for(42s); // without other work for that long, lasting tasks may use nearly all capacity
     BOOST_REQUIRE(w.submit(0, jobs.at(0), lasting_spec(2, 12000)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(0, jobs.at(1), lasting_spec(1, 12000)) == caller_result::accepted);
     BOOST_REQUIRE(w.submit(0, jobs.at(2), lasting_spec(3, 2300)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == 6; }, 5s));
     w.run_for(2s);
-    int left = 0;
-    while (tasks_on(w, left).begin()->job.str() != jobs.at(0)) {
-        ++left;
-    }
-    BOOST_REQUIRE(tasks_on(w, left).size() == 2);
-    w.worker(left).draining = true;
-    w.run_for(1500ms); // known to drain, so that nothing starts there again
-    w.fail_run(*tasks_on(w, left).begin());
+    int drained = 0;
+    while (tasks_on(w, drained).begin()->job.str() != jobs.at(0)) {
+        ++drained;
+    }
+    BOOST_REQUIRE(tasks_on(w, drained).size() == 2);
+    w.worker(drained).draining = true;
+    w.run_for(1500ms); // until the owner knows that the worker drains and starts nothing there
+    w.fail_run(*tasks_on(w, drained).begin());
     w.run_for(500ms);
     w.kill_entry(owner_of(w));
-    w.crash_worker(left, false);
-    w.run_for(takeover_most);
+    w.crash_worker(drained, false);
+    w.run_for(max_takeover_time);
     w.cancel(owner_of(w), jobs.at(1));
-    w.run_for(start_most);
+    w.run_for(max_start_time);
     BOOST_TEST(w.count_running_tasks(jobs.at(0)) == 2);
     check_no_violations(w);
 }
 
-BOOST_AUTO_TEST_CASE(a_cell_that_waits_for_a_silent_worker_starts_what_it_is_given)
+BOOST_AUTO_TEST_CASE(a_cell_that_waits_for_an_unreachable_worker_starts_tasks_given_to_it)
 {
-    // A task that lasts fails where no worker is listed any more, and is given to another cell. That one has just
-    // changed hands and waits for a worker that cannot be asked: the task, which never ran there, waited along with its
-    // own for 10 s.
-    constexpr duration given_most = 2s; // waits for room in its own cell, then the give-away is written and told
+    // A lasting task fails in a cell without listed workers and is given to another cell, which has a new owner that
+    // waits for an unreachable worker. The task never ran in that cell and must not wait 10 s with the cell's own
+    // tasks.
+    constexpr duration max_give_away_time =
+        2s; // the wait for capacity in its own cell, the write of the give-away and the message
     flow_simulation w({.data_centres = {"a", "b"}, .entries_per_data_centre = 3, .workers_per_data_centre = 3});
     w.run_for(2s);
     BOOST_REQUIRE(w.submit(0, jobs.front(), lasting_spec(1, 4000)) == caller_result::accepted);
     BOOST_REQUIRE(w.run_until([&] { return w.count_all_running_tasks() == 1; }, 5s));
     w.run_for(2s);
     const int runs_on = busy_workers(w).front();
-    const int first = runs_on < 3 ? 0 : 3; // worker of the task's cell
+    const int first = runs_on < 3 ? 0 : 3; // first worker of the task's cell
     const int first_entry = runs_on < 3 ? 3 : 0;
     const cell_id other(runs_on < 3 ? "b" : "a");
     for (int i = first_entry; i < first_entry + 3; ++i) {
@@ -615,47 +626,47 @@
     for (int i = first; i < first + 3; ++i) {
         w.set_worker_unlisted(i, true);
     }
-    w.run_for(takeover_most);
+    w.run_for(max_takeover_time);
     BOOST_REQUIRE(w.count_owners(other.str()) == 1);
     w.fail_run(*tasks_on(w, runs_on).begin());
-    w.run_for(given_most + start_most);
+    w.run_for(max_give_away_time + max_start_time);
     BOOST_TEST(w.count_all_running_tasks() == 1);
     check_no_violations(w);
 }
 
-BOOST_AUTO_TEST_CASE(starts_that_an_earlier_release_did_not_note_are_waited_for)
+BOOST_AUTO_TEST_CASE(starts_that_an_earlier_release_did_not_record_are_waited_for)
 {
-    // Rows written by an earlier release do not tell where tasks were started. Taken for tasks that were never started,
-    // those on a worker that is cut off from the follower would run twice.
-    for (const bool followed_twice : {false, true}) {
+    // Rows written by an earlier release do not record where tasks were started. If the new owner takes these tasks for
+    // never started, those on a worker that it cannot reach run twice.
+    for (const bool second_takeover : {false, true}) {
         flow_simulation w({.entries_per_data_centre = 3, .workers_per_data_centre = 6});
         start_lasting_jobs(w);
         const int owner = owner_of(w);
-        const int silent = busy_workers(w).front();
+        const int unreachable = busy_workers(w).front();
         w.pause_entry(owner);
         w.strip_start_records();
         w.kill_entry(owner);
-        w.worker(silent).reachable = false;
-        if (followed_twice) { // by an owner that notes its starts, but does not know of all that were
-            w.run_for(takeover_most);
+        w.worker(unreachable).reachable = false;
+        if (second_takeover) { // by an owner that records its own starts but does not know of all earlier ones
+            w.run_for(max_takeover_time);
             w.kill_entry(owner_of(w));
         }
-        w.run_for(2 * lapsed_most);
-        BOOST_TEST(running_tasks(w).size() == tasks_all);
+        w.run_for(2 * max_restart_time);
+        BOOST_TEST(running_tasks(w).size() == all_tasks);
         check_no_violations(w);
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_run_listed_before_its_jobs_row_is_read_is_not_started_beside)
+BOOST_AUTO_TEST_CASE(a_run_listed_before_its_jobs_row_is_read_is_not_started_again)
 {
-    // A job was accepted while the cell changed hands: the owner before started its tasks, the new one had read the
-    // jobs already. Its workers list runs of a job that it does not know. Once it has read the job's row, the tasks
-    // seem to run nowhere until the workers are asked again; started then, they run twice.
+    // A job was accepted during a takeover: the previous owner started its tasks after the new owner had read the jobs.
+    // The workers list runs of a job that the new owner does not know. Once it has read the job's row, it must not
+    // start the tasks before the workers have listed their runs again, or the tasks run twice.
     flow_simulation w({.entries_per_data_centre = 1, .workers_per_data_centre = 3, .holds_wait = true});
     w.run_for(2500ms);
-    const std::int64_t looks = w.job_watch_count(0);
-    BOOST_REQUIRE(
-        w.run_until([&] { return w.job_watch_count(0) > looks; }, 3s)); // the workers are heard before the next
+    const std::int64_t reads_before = w.job_watch_count(0);
+    BOOST_REQUIRE(w.run_until([&] { return w.job_watch_count(0) > reads_before; },
+                              3s)); // the workers answer before the next read of the jobs
     w.insert_unannounced_job(jobs.front(), cell_id("a"), chain_spec(1, 2));
     w.start_unannounced_run(0, {job_id(jobs.front()), 0, 0, 0}, run_number(1), 3s);
     w.start_unannounced_run(1, {job_id(jobs.front()), 0, 0, 1}, run_number(1), 3s);
@@ -666,14 +677,14 @@
 
 namespace {
 
-constexpr int entries = 6; // of the random test
+constexpr int entries = 6; // in the random test
 constexpr int rounds = 20;
 constexpr std::int64_t task_cpu = 1000;
 
-// Tasks that last, while entries are killed, stand still, are cut off from the table and from each other, answers are
-// lost, and workers crash, are cut off and drain, in an order drawn from the seed. No task may run twice on the way,
-// and all that there is room for run at the end.
-void play_random_takeovers(std::uint64_t seed, std::int64_t worker_cpu_millis)
+// Runs lasting tasks while entries are killed, paused and cut off from the table and from each other, answers are lost,
+// and workers crash, are cut off and drain, in an order drawn from the seed. No task may run twice at any time, and at
+// the end all tasks that fit must run.
+void run_random_takeovers(std::uint64_t seed, std::int64_t worker_cpu_millis)
 {
     flow_simulation w({.seed = seed,
                        .data_centres = {"a", "b"},
@@ -748,7 +759,8 @@
         w.worker(i).reachable = true;
     }
     w.run_for(20s);
-    // Entries that were cut off from each other have accepted jobs for the same room: more than fit may wait.
+    // Entries that were cut off from each other may have accepted jobs for the same capacity, so that not all tasks
+    // fit.
     const bool full = w.count_all_running_tasks() == w.worker_count() * (worker_cpu_millis / task_cpu);
     for (const std::string& job : accepted) {
         BOOST_TEST_CONTEXT("job " << job)
@@ -760,40 +772,42 @@
     check_no_violations(w);
 }
 
-void play_seeds(std::int64_t worker_cpu_millis)
+// Runs the random test for the seeds 1 to 100, or for those given on the command line.
+void run_seeds(std::int64_t worker_cpu_millis)
 {
     const auto& arguments = boost::unit_test::framework::master_test_suite();
-    const bool by_hand = arguments.argc == 3;
-    const std::uint64_t first = by_hand ? std::stoull(arguments.argv[1]) : 1;
-    const std::uint64_t last = by_hand ? std::stoull(arguments.argv[2]) : 100;
+    const bool from_arguments = arguments.argc == 3;
+    const std::uint64_t first = from_arguments ? std::stoull(arguments.argv[1]) : 1;
+    const std::uint64_t last = from_arguments ? std::stoull(arguments.argv[2]) : 100;
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            play_random_takeovers(seed, worker_cpu_millis);
+            run_random_takeovers(seed, worker_cpu_millis);
         }
     }
 }
 
 } // namespace
 
-// More seeds by hand: test_flow_takeover --run_test='tasks_that_last*' -- FIRST LAST
+// To run other seeds: test_flow_takeover --run_test='tasks_that_last*' -- FIRST LAST
 BOOST_AUTO_TEST_CASE(tasks_that_last_run_once_under_random_takeovers)
 {
-    play_seeds(16000);
+    run_seeds(16000);
 }
 
 BOOST_AUTO_TEST_CASE(tasks_that_last_run_once_while_they_move_between_full_cells)
 {
-    // Two tasks fill a worker: many find no room in their cell and are given to the other, while owners change.
-    play_seeds(2300);
+    // Two tasks fill a worker, so that many tasks find no capacity in their cell and are given to the other one while
+    // owners change.
+    run_seeds(2300);
 }
 
-BOOST_AUTO_TEST_CASE(a_cell_is_told_only_what_the_table_has)
+BOOST_AUTO_TEST_CASE(only_written_rows_are_sent_to_other_cells)
 {
-    // An owner gives a task away while an earlier write of the job's row is under way, and stands still before it hears
-    // that this one was applied. Its follower, which reads no give-away, starts the task. The owner goes on: if it
-    // tells the other cell its row as it is by now, with the give-away that will never be written, that cell starts it
-    // too.
+    // An owner decides to give a task away while an earlier write of the job's row is in progress, and is paused before
+    // it gets the answer to that write. The new owner reads no give-away and starts the task. When the old owner is
+    // resumed, it must not send its current row to the other cell: the give-away in it will never be written, and that
+    // cell would start the task a second time.
     flow_simulation w({.data_centres = {"a", "b"},
                        .workers_per_data_centre = 1,
                        .worker_cpu_millis = 4500,
@@ -820,13 +834,14 @@
     check_no_violations(w);
 }
 
-// A job that had ended before its cell changed owners is run anew, when the rows of all jobs are read again while its
-// own are being removed: the row that tells its end is gone by the time it is read, the one that tells what was asked
-// was not.
+// Guards against running an ended job again after a takeover when the rows of all jobs are read again while the job's
+// own rows are being removed: the row with the job's end is removed before it is read,
+// the row with the job's request only after it is read.
 BOOST_AUTO_TEST_CASE(an_ended_job_whose_rows_are_removed_while_they_are_read_is_not_run_again)
 {
     const std::string& job = jobs.front();
-    // The removal comes ten seconds after the first reading; how long a page takes shifts it against the second one.
+    // The rows are removed 10 s after the first read; the transfer time of a page shifts the removal against the second
+    // read.
     for (duration page = 100ms; page <= 400ms; page += 10ms) {
         for (duration since_taken = 6s; since_taken <= 12s; since_taken += 2s) {
             flow_simulation w({.job_page_transfer_time = page});
