--- a/src/flow_front.cpp
+++ b/src/flow_front.cpp
@@ -135,7 +135,7 @@
     }
     const auto cell = choose_cell(now, queue, *request.spec);
     if (stopping_ || !cell) {
-        refuse_unless_accepted(job, {stopping_ ? "entry is stopping" : "no cell serves the queue", unavailable_retry},
+        refuse_unless_accepted(job, {stopping_ ? "stopping" : "no cell serves the queue", unavailable_retry},
                                std::move(reply));
         return;
     }
