--- a/tests/test_flow_pending_cut.cpp
+++ b/tests/test_flow_pending_cut.cpp
@@ -1,5 +1,5 @@
-// How many jobs of a queue wait, asked of all while a data centre is cut off from its peers and something else is
-// wrong at the same time.
+// Tests the pending count of a queue at all entries while a data centre is cut off from its peers and a second fault
+// is active.
 #include <boost/test/unit_test.hpp>
 
 #include <functional>
@@ -19,8 +19,8 @@
 constexpr int entries_count = data_centres * entries_per_data_centre;
 constexpr int seeds = 6;
 constexpr duration step = 100ms;
-constexpr duration begun_after = 8s;
-constexpr duration played = 18s;
+constexpr duration warm_up = 8s;
+constexpr duration test_duration = 18s;
 constexpr duration cut_from = 2s;
 constexpr duration cut_until = cut_from + 5500ms;
 constexpr duration fault_lasts = 5400ms;
@@ -28,8 +28,8 @@
 constexpr duration stopped_for = 3s;
 constexpr duration jobs_until = 4s;
 constexpr duration submit_interval = 200ms;
-constexpr duration last_jobs = 300ms;   // before the fault
-constexpr duration in_touch_after = 3s; // the end of a fault
+constexpr duration last_jobs = 300ms;  // `owner_before_fault` submits jobs only this long before the fault
+constexpr duration recovery_time = 3s; // an entry has to report correct counts this long after the end of its fault
 constexpr duration slow_pause = 400ms;
 constexpr duration slow_table = 240ms;
 constexpr duration sound_table = 8ms;
@@ -45,6 +45,7 @@
     return o;
 }
 
+// Kills all entries of the first data centre.
 void kill_first_data_centre(flow_simulation& world)
 {
     for (int entry = 0; entry < entries_per_data_centre; ++entry) {
@@ -54,22 +55,25 @@
 
 enum class fault : std::uint8_t { none, frozen, off_table, slow, stopped, table_slow, history, killed };
 
-enum class takers : std::uint8_t { all, data_centre, owner_before_fault }; // who takes jobs
+enum class submit_scope : std::uint8_t { all, data_centre, owner_before_fault }; // entries that jobs are submitted to
 
 struct cut_case {
     fault beside = fault::none;
     bool owner_is_cut = false;
-    takers through = takers::all;
+    submit_scope through = submit_scope::all;
     std::uint64_t seed = 1;
 };
 
+// A site whose last data centre is cut off from its peers for 5.5 s while the fault of the case affects one owner, the
+// table or the change history.
 class cut_site {
 public:
     explicit cut_site(const cut_case& c) : case_(c), world_(make_options(c)) {}
 
-    void play()
+    // Submits jobs, applies the cut and the fault, and checks the pending counts of the entries.
+    void run()
     {
-        world_.run_for(begun_after + 131ms * static_cast<int>(case_.seed));
+        world_.run_for(warm_up + 131ms * static_cast<int>(case_.seed));
         first_ = case_.owner_is_cut ? entries_count - entries_per_data_centre : 0;
         owner_ = first_;
         for (int entry = first_; entry < first_ + entries_per_data_centre; ++entry) {
@@ -80,14 +84,14 @@
         }
         const duration fault_from = cut_from + 400ms * (static_cast<int>(case_.seed) - 3);
         pending_count_checker check(world_);
-        for (duration t{0}; t < played; t += step) {
+        for (duration t{0}; t < test_duration; t += step) {
             for (int entry = entries_count - entries_per_data_centre; entry < entries_count; ++entry) {
                 world_.cut_entry_from_peers(entry, t >= cut_from && t < cut_until);
             }
             if (t == fault_from) {
                 begin_fault();
             }
-            go_on(t - fault_from);
+            end_fault(t - fault_from);
             check.record_accepted();
             submit(check, t, t - fault_from);
             for (int entry = 0; entry < entries_count; ++entry) {
@@ -98,7 +102,7 @@
             world_.run_for(step);
         }
         world_.run_for(pending_count_checker::answer_time_limit);
-        BOOST_TEST_MESSAGE(fmt::format("seed {}, owner {}{}, takers {}: accepted {} of {}", case_.seed, owner_,
+        BOOST_TEST_MESSAGE(fmt::format("seed {}, owner {}{}, submit_scope {}: accepted {} of {}", case_.seed, owner_,
                                        case_.owner_is_cut ? " (cut)" : "", static_cast<int>(case_.through),
                                        check.accepted(), check.submitted()));
         check_no_violations(world_);
@@ -144,8 +148,8 @@
         }
     }
 
-    // `since`: the fault began.
-    void go_on(duration since)
+    // Ends the fault when `since`, the time since its start, reaches its duration.
+    void end_fault(duration since)
     {
         if (case_.beside == fault::killed && since == killed_for) {
             world_.start_entry(owner_);
@@ -169,7 +173,8 @@
         world_.set_table_latency(sound_table);
     }
 
-    duration out_for() const
+    // Returns how long the fault takes the owner out of service.
+    duration outage_duration() const
     {
         switch (case_.beside) {
         case fault::frozen:
@@ -184,21 +189,24 @@
         }
     }
 
+    // Returns whether the entry has to report a correct count at this time since the start of the fault.
     bool is_asked(int entry, duration since) const
     {
-        const bool out = out_for() > duration(0) && since >= duration(0) && since < out_for() + in_touch_after;
+        const bool out =
+            outage_duration() > duration(0) && since >= duration(0) && since < outage_duration() + recovery_time;
         return entry != owner_ || !out;
     }
 
+    // Submits a job at time `t` to an entry that the case selects, if one is due.
     void submit(pending_count_checker& check, duration t, duration since)
     {
         const int number = static_cast<int>(t / submit_interval);
         int entry = number % entries_count;
         bool due = t < jobs_until && t % submit_interval == duration(0);
-        if (case_.through == takers::data_centre) {
+        if (case_.through == submit_scope::data_centre) {
             entry = first_ + number % entries_per_data_centre;
         }
-        if (case_.through == takers::owner_before_fault) {
+        if (case_.through == submit_scope::owner_before_fault) {
             entry = owner_;
             due = since < duration(0) && since >= -last_jobs;
         }
@@ -209,24 +217,26 @@
 
     cut_case case_;
     flow_simulation world_;
-    int first_ = 0; // entry of the owner's data centre
+    int first_ = 0; // first entry of the owner's data centre
     int owner_ = 0;
 };
 
-void play_all(fault beside)
+// Runs the fault for every kind of owner, selection of entries and seed.
+void check_all_cases(fault beside)
 {
     for (const bool owner_is_cut : {false, true}) {
-        for (const takers through : {takers::all, takers::data_centre, takers::owner_before_fault}) {
+        for (const submit_scope through :
+             {submit_scope::all, submit_scope::data_centre, submit_scope::owner_before_fault}) {
             for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-                cut_site({beside, owner_is_cut, through, seed}).play();
+                cut_site({beside, owner_is_cut, through, seed}).run();
             }
         }
     }
 }
 
-// Kills all entries of a data centre some time after its owner read its rows again, since history was forgotten, and
-// has just taken a job; `page_time` is what a page of rows takes.
-void play_forgotten(std::uint64_t seed, duration page_time, duration read_for)
+// Discards the change history, so that owners read their rows again, and waits for `read_for`. Then an owner accepts a
+// job and its data centre is killed. `page_time` is the transfer time of a page of rows.
+void check_discarded_history(std::uint64_t seed, duration page_time, duration read_for)
 {
     flow_simulation::options o = site_options(seed);
     o.job_page_transfer_time = page_time;
@@ -251,16 +261,16 @@
     check.check(400);
 }
 
-// An entry stands still; the owner's last hello, which waits for it, is from before the owner's last job. Then the
-// owner's data centre is killed, and the entry is cut off from its peers.
-void play_late_hello(std::uint64_t seed)
+// Pauses an entry, so that the owner's last hello to it, sent before the owner accepted its last job, stays
+// undelivered. Then the entry is cut off from its peers, and the owner's data centre is killed.
+void check_late_hello(std::uint64_t seed)
 {
     flow_simulation::options o = site_options(seed);
     flow_simulation world(o);
     constexpr int asked = entries_count - 1;
-    world.run_for(begun_after + 131ms * static_cast<int>(seed));
+    world.run_for(warm_up + 131ms * static_cast<int>(seed));
     world.pause_entry(asked);
-    world.run_for(600ms); // a round of hellos
+    world.run_for(600ms); // one hello interval
     world.cut_entry_from_peers(asked, true);
     pending_count_checker check(world);
     check.submit(0);
@@ -270,7 +280,7 @@
     kill_first_data_centre(world);
     world.run_for(fault_lasts - 600ms - 20ms);
     world.resume_entry(asked);
-    world.run_for(in_touch_after);
+    world.run_for(recovery_time);
     for (duration t{0}; t < 5s; t += step) {
         check.ask(asked);
         world.run_for(step);
@@ -280,25 +290,26 @@
     check.check(40);
 }
 
-// What the entry tells its peers now.
-wire::flow_message told_now(flow_simulation& world, int entry, const std::string& name)
+// Returns the hello that the entry currently sends to its peers.
+wire::flow_message current_hello(flow_simulation& world, int entry, const std::string& name)
 {
-    wire::flow_message asks;
-    wire::flow_hello own; // an entry takes nothing from a hello of its own
+    wire::flow_message request;
+    wire::flow_hello own; // an entry ignores the content of a hello from itself
     own.sender.entry = name;
-    asks.__set_hello(own);
-    wire::flow_message told;
-    world.entry(entry)->on_message(world.now(), asks, [&told](const wire::flow_message& answer) { told = answer; });
-    return told;
+    request.__set_hello(own);
+    wire::flow_message hello;
+    world.entry(entry)->on_message(world.now(), request,
+                                   [&hello](const wire::flow_message& answer) { hello = answer; });
+    return hello;
 }
 
-// A data centre is cut off; a hello that its peers sent as the cut began arrives when it ends, as the network's own
-// repetitions have it. A job is taken outside meanwhile.
-void play_hello_kept_by_cut(std::uint64_t seed, bool asked_meanwhile)
+// Cuts off a data centre. Hellos that its peers sent when the cut began arrive when it ends, as retransmission by the
+// network can cause. An entry outside accepts a job during the cut.
+void check_hello_delayed_by_cut(std::uint64_t seed, bool asked_meanwhile)
 {
     flow_simulation::options o = site_options(seed);
     flow_simulation world(o);
-    world.run_for(begun_after + 331ms * static_cast<int>(seed));
+    world.run_for(warm_up + 331ms * static_cast<int>(seed));
     const auto cut = [&world](bool on) {
         for (int entry = entries_count - entries_per_data_centre; entry < entries_count; ++entry) {
             world.cut_entry_from_peers(entry, on);
@@ -310,7 +321,7 @@
         const std::string name =
             fmt::format("entry-{}-{}", o.data_centres.at(static_cast<std::size_t>(entry) / entries_per_data_centre),
                         entry % entries_per_data_centre);
-        under_way.push_back(told_now(world, entry, name));
+        under_way.push_back(current_hello(world, entry, name));
     }
     pending_count_checker check(world);
     world.run_for(100ms);
@@ -338,8 +349,9 @@
     check.check(200);
 }
 
-// Kills all entries of a data centre that has just taken a job, while others take many and a look shows few rows.
-void play_many_pages(std::uint64_t seed)
+// Kills all entries of a data centre that has just accepted a job, while other entries accept many and each poll of the
+// table returns at most 10 rows.
+void check_many_pages(std::uint64_t seed)
 {
     flow_simulation::options o = site_options(seed);
     o.watch_page_rows = 10;
@@ -367,98 +379,100 @@
 
 } // namespace
 
-// Whoever is cut off hears no owner outside, and nobody outside hears those within.
+// Guards against wrong counts when entries on either side of a cut receive nothing from owners on the other side.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut)
 {
-    play_all(fault::none);
+    check_all_cases(fault::none);
 }
 
-// The count that a frozen owner left is taken for new, or its own is when it goes on.
+// Guards against treating the outdated count of a paused owner as current, during the pause or after it resumes.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_an_owner_is_frozen)
 {
-    play_all(fault::frozen);
+    check_all_cases(fault::frozen);
 }
 
-// An owner that the table turns away knows nothing of jobs that others accept for its cell.
+// Guards against omitted jobs when an owner cannot reach the table and misses jobs that other entries accept.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_an_owner_is_off_the_table)
 {
-    play_all(fault::off_table);
+    check_all_cases(fault::off_table);
 }
 
-// What a slow owner asked for long ago is taken for new.
+// Guards against a slow owner treating the late answer to an old table request as current.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_an_owner_is_slow)
 {
-    play_all(fault::slow);
+    check_all_cases(fault::slow);
 }
 
-// The count goes with the cell to a follower that others do not hear.
+// Guards against wrong counts when an owner stops by plan and the next owner is on the other side of the cut.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_an_owner_stops)
 {
-    play_all(fault::stopped);
+    check_all_cases(fault::stopped);
 }
 
-// Counts are as old as the answers of the table that they are made from.
+// Guards against treating counts as current when the table answers from which they were computed are old.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_the_table_is_slow)
 {
-    play_all(fault::table_slow);
+    check_all_cases(fault::table_slow);
 }
 
-// What was accepted since a count is no longer told by the table.
+// Guards against omitting jobs accepted after a count when the table no longer has the changes since that count.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_history_is_forgotten)
 {
-    play_all(fault::history);
+    check_all_cases(fault::history);
 }
 
-// An owner that is back at once counts what it took before.
+// Guards against omitted jobs when an owner is killed and restarted 800 ms later.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_behind_a_cut_while_an_owner_is_killed)
 {
-    play_all(fault::killed);
+    check_all_cases(fault::killed);
 }
 
-// An owner that reads its rows again tells a count as whole up to no version that there is, and its row keeps it.
+// Guards against an owner that reads its rows again publishing a complete count for a version that does not exist,
+// which its row then retained.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_after_history_was_forgotten)
 {
     for (std::uint64_t seed = 1; seed <= 2 * seeds; ++seed) {
-        play_forgotten(seed, duration(0), 6s);
+        check_discarded_history(seed, duration(0), 6s);
     }
 }
 
-// The same where the owner reads slowly.
+// Guards against a count for a version that does not exist when the owner reads its rows slowly.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_after_history_was_forgotten_and_rows_were_read_slowly)
 {
     for (std::uint64_t seed = 1; seed <= 2 * seeds; ++seed) {
-        play_forgotten(seed, 400ms, 15s);
+        check_discarded_history(seed, 400ms, 15s);
     }
 }
 
-// A hello that waited for an entry that stood still is taken for as new as it was when it was sent.
+// Guards against treating a hello as current although it waited for a paused entry before it was delivered.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_though_a_hello_was_long_under_way)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        play_late_hello(seed);
+        check_late_hello(seed);
     }
 }
 
-// A hello that the cut held back is taken for new when the cut ends, and stands before newer ones.
+// Guards against treating a hello delayed by a cut as current when the cut ends, and preferring it to newer ones.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_though_a_cut_held_a_hello_back)
 {
     for (std::uint64_t seed = 1; seed <= 2 * seeds; ++seed) {
-        play_hello_kept_by_cut(seed, false);
+        check_hello_delayed_by_cut(seed, false);
     }
 }
 
-// A question waits for all changes since the oldest count, page by page, for longer than a caller does.
+// Guards against a query exceeding the caller's time limit while it waits for all pages of changes since the oldest
+// count.
 BOOST_AUTO_TEST_CASE(answers_come_in_time_though_a_look_shows_few_rows)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        play_many_pages(seed);
+        check_many_pages(seed);
     }
 }
 
-// The same where newer counts were read from the table meanwhile.
+// Guards against preferring a hello delayed by a cut to newer counts read from the table during the cut.
 BOOST_AUTO_TEST_CASE(jobs_are_counted_though_a_cut_held_a_hello_back_and_rows_were_read)
 {
     for (std::uint64_t seed = 1; seed <= 2 * seeds; ++seed) {
-        play_hello_kept_by_cut(seed, true);
+        check_hello_delayed_by_cut(seed, true);
     }
 }
--- a/tests/test_flow_pending_gone.cpp
+++ b/tests/test_flow_pending_gone.cpp
@@ -1,4 +1,4 @@
-// How many jobs of a queue wait, asked of those that are left when the entries that took the jobs are gone.
+// Tests the pending count of a queue at the remaining entries after the entries that accepted the jobs were killed.
 #include <boost/test/unit_test.hpp>
 
 #include "support_flow_checks.h"
@@ -12,21 +12,22 @@
 namespace {
 
 constexpr int data_centres = 4;
-constexpr int phases = 8; // of the owner's renewals, at which it is killed
-constexpr duration step = 100ms;
-constexpr duration accepted_after = 20ms; // by a table that answers in 8 ms
-constexpr duration killed_after = 8s;
-constexpr duration asked_for = 15s;
+constexpr int phases = 8; // offsets, in the owner's renewal cycle, at which the owner is killed
+constexpr duration poll_interval = 100ms;
+constexpr duration acceptance_wait = 20ms; // the table answers in 8 ms
+constexpr duration kill_time = 8s;
+constexpr duration poll_duration = 15s;
 
 struct gone_case {
-    int entries_per_data_centre = 2; // all of a data centre are killed
-    duration page_time{0};
-    bool other_cut = false; // a data centre is cut off from its peers meanwhile, and reaches the table
+    int entries_per_data_centre = 2; // all entries of the first data centre are killed
+    duration page_time{0};           // transfer time of a page of job rows over the link of an entry
+    bool other_cut = false;          // the last data centre is cut off from its peers, but not from the table
     bool discard_change_history = false;
 };
 
-// Kills all entries of the data centre whose cell has just taken jobs, and asks the others.
-void play(const gone_case& c, int phase)
+// Kills all entries of the first data centre 20 ms after its owner was sent a job, and checks the pending counts that
+// the other entries report.
+void check_counts_after_kill(const gone_case& c, int phase)
 {
     flow_simulation::options o;
     o.seed = static_cast<std::uint64_t>(phase) + 1;
@@ -37,7 +38,7 @@
     o.job_page_transfer_time = c.page_time;
     flow_simulation world(o);
     const int entries = data_centres * c.entries_per_data_centre;
-    world.run_for(killed_after + phase * 131ms);
+    world.run_for(kill_time + phase * 131ms);
     int owner = 0;
     for (int entry = 0; entry < c.entries_per_data_centre; ++entry) {
         const auto& cells = world.entry(entry)->cells();
@@ -50,7 +51,7 @@
     }
     pending_count_checker check(world);
     check.submit(owner);
-    world.run_for(accepted_after);
+    world.run_for(acceptance_wait);
     check.record_accepted();
     BOOST_REQUIRE(check.accepted() == 1);
     for (int entry = 0; entry < c.entries_per_data_centre; ++entry) {
@@ -59,46 +60,48 @@
     if (c.discard_change_history) {
         world.discard_change_history();
     }
-    for (duration t{0}; t < asked_for; t += step) {
+    for (duration t{0}; t < poll_duration; t += poll_interval) {
         for (int entry = c.entries_per_data_centre; entry < entries; ++entry) {
             check.ask(entry);
         }
-        world.run_for(step);
+        world.run_for(poll_interval);
     }
     world.run_for(pending_count_checker::answer_time_limit);
     check_no_violations(world);
     check.check(400);
 }
 
-void play_all(const gone_case& c)
+// Runs the case at every phase.
+void check_all_phases(const gone_case& c)
 {
     for (int phase = 0; phase < phases; ++phase) {
-        play(c, phase);
+        check_counts_after_kill(c, phase);
     }
 }
 
 } // namespace
 
-// The count in the row of a cell whose owner is gone is taken for new, and leaves out what the owner took after it.
+// Guards against treating the count in the row of a cell as current after its owner was killed. That count omits the
+// jobs that the owner accepted after it wrote the row.
 BOOST_AUTO_TEST_CASE(jobs_of_a_data_centre_that_is_gone_are_counted)
 {
-    play_all({});
+    check_all_phases({});
 }
 
-// The same where the owner had no neighbour.
+// Guards against the same outdated count when the owner was the only entry of its data centre.
 BOOST_AUTO_TEST_CASE(jobs_of_the_only_entry_of_a_data_centre_are_counted)
 {
-    play_all({.entries_per_data_centre = 1});
+    check_all_phases({.entries_per_data_centre = 1});
 }
 
-// The follower takes the old count for its own while it reads the rows.
+// Guards against the next owner reporting the outdated count of its predecessor while it reads the job rows.
 BOOST_AUTO_TEST_CASE(jobs_of_a_data_centre_that_is_gone_are_counted_while_the_follower_reads)
 {
-    play_all({.page_time = 400ms});
+    check_all_phases({.page_time = 400ms});
 }
 
-// Whoever is cut off hears no count, and goes by the row.
+// Guards against entries that are cut off from their peers relying on the outdated count in the row of the cell.
 BOOST_AUTO_TEST_CASE(jobs_of_a_data_centre_that_is_gone_are_counted_behind_a_cut)
 {
-    play_all({.page_time = 400ms, .other_cut = true});
+    check_all_phases({.page_time = 400ms, .other_cut = true});
 }
--- a/tests/test_flow_pending_restarts.cpp
+++ b/tests/test_flow_pending_restarts.cpp
@@ -1,4 +1,4 @@
-// How many jobs of a queue wait, asked at every entry while all entries restart in turn, faster than an owner reads the
+// Tests the pending count of a queue at every entry while all entries restart in turn, faster than an owner reads the
 // rows of its cell.
 #include <boost/test/unit_test.hpp>
 
@@ -13,33 +13,34 @@
 namespace {
 
 constexpr int entries_count = 12;
-constexpr duration step = 100ms; // each entry is asked this often
+constexpr duration poll_interval = 100ms;
 constexpr duration submit_interval = 400ms;
 constexpr duration restart_gap = 400ms;
 constexpr duration first_restart = 8s;
-constexpr duration played = 40s;
+constexpr duration test_duration = 40s;
 
 enum class restart_kind : std::uint8_t { killed, planned };
 
 struct restart_case {
     restart_kind kind = restart_kind::killed;
     int rounds = 1;
-    duration page_time{0};       // of rows of jobs, over the entry's link
-    duration table_away_from{0}; // after the start
+    duration page_time{0};       // transfer time of a page of job rows over the link of an entry
+    duration table_away_from{0}; // from the start of the test
     duration table_away_until{0};
     double link_bytes_per_s = 0;
 };
 
-// A site on which all jobs wait, since no worker has room for them, and whose entries restart in turn.
+// A site whose entries restart in turn. All of its jobs stay queued, because no worker has room for them.
 class waiting_site {
 public:
     explicit waiting_site(const restart_case& c) : case_(c), world_(make_options(c)), counts_(world_) {}
 
-    void play()
+    // Submits jobs, restarts entries, and checks the pending counts of all ready entries.
+    void run()
     {
-        begun_ = world_.now();
-        while (world_.now() - begun_ < played) {
-            const duration t = world_.now() - begun_;
+        started_at_ = world_.now();
+        while (world_.now() - started_at_ < test_duration) {
+            const duration t = world_.now() - started_at_;
             world_.set_table_down(t >= case_.table_away_from && t < case_.table_away_until);
             restart(t);
             submit(t);
@@ -49,7 +50,7 @@
                     counts_.ask(entry);
                 }
             }
-            world_.run_for(step);
+            world_.run_for(poll_interval);
         }
         world_.run_for(pending_count_checker::answer_time_limit);
         check_no_violations(world_);
@@ -69,11 +70,12 @@
         return o;
     }
 
+    // Stops the entries that are due at `t`, and starts those whose downtime is over.
     void restart(duration t)
     {
         const int due = static_cast<int>((t - first_restart) / restart_gap) + 1;
         while (t >= first_restart && restarted_ < due && restarted_ < case_.rounds * entries_count) {
-            take_down(restarted_++ % entries_count);
+            stop_entry(restarted_++ % entries_count);
         }
         for (auto at = away_.begin(); at != away_.end();) {
             flow_entry* const entry = world_.entry(at->first);
@@ -91,7 +93,8 @@
         }
     }
 
-    void take_down(int entry)
+    // Kills the entry for 800 ms, or stops it by plan for 3 s.
+    void stop_entry(int entry)
     {
         if (case_.kind == restart_kind::killed) {
             world_.kill_entry(entry);
@@ -108,6 +111,7 @@
         return away_.count(entry) == 0 && world_.entry(entry) != nullptr && world_.entry(entry)->ready();
     }
 
+    // Submits the next job if it is due at `t`; skips it if its entry is not ready.
     void submit(duration t)
     {
         if (t < 2s || t < submit_interval * submitted_) {
@@ -121,64 +125,65 @@
 
     restart_case case_;
     flow_simulation world_;
-    instant begun_{};
+    instant started_at_{};
     int restarted_ = 0;
-    std::map<int, instant> away_; // and when it comes back
-    std::int64_t submitted_ = 0;  // or due while the entry was away
+    std::map<int, instant> away_; // stopped entries, with the time of their restart
+    std::int64_t submitted_ = 0;  // including jobs skipped because their entry was not ready
     pending_count_checker counts_;
 };
 
 void check_counts(const restart_case& c)
 {
-    waiting_site(c).play();
+    waiting_site(c).run();
 }
 
 } // namespace
 
-// An entry that has just started counts jobs as not there that it has not heard of.
+// Guards against a restarted entry omitting jobs from the count that it has not learned of yet.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_entries_are_killed_in_turn)
 {
     check_counts({.kind = restart_kind::killed});
 }
 
-// The same with owners that hand over.
+// Guards against omitted jobs when owners stop by plan and hand over their cells.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_entries_are_stopped_in_turn)
 {
     check_counts({.kind = restart_kind::planned});
 }
 
-// Each owner of a cell is killed before it has read the rows, so nobody tells a whole count.
+// Guards against incomplete counts when each owner of a cell is killed before it has read the rows, so that no entry
+// has a complete count.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_owners_are_killed_before_they_have_read)
 {
     check_counts({.kind = restart_kind::killed, .page_time = 400ms});
 }
 
-// The same with owners that hand over what they have not read.
+// Guards against incomplete counts when each owner is stopped by plan before it has read the rows.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_owners_are_stopped_before_they_have_read)
 {
     check_counts({.kind = restart_kind::planned, .page_time = 400ms});
 }
 
-// An entry that starts while the table is away has nobody to ask but its peers.
+// Guards against omitted jobs when entries start during a table outage and can learn counts only from their peers.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_the_table_is_away_and_entries_are_killed)
 {
     check_counts({.kind = restart_kind::killed, .table_away_from = 10s, .table_away_until = 14s});
 }
 
-// The same with owners that cannot release their cells.
+// Guards against omitted jobs when owners stop by plan during a table outage and cannot release their cells.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_the_table_is_away_and_entries_are_stopped)
 {
     check_counts({.kind = restart_kind::planned, .table_away_from = 10s, .table_away_until = 14s});
 }
 
-// Entries that restart again before all that follow from the first time is over.
+// Guards against omitted jobs when entries restart again before the site has recovered from the first round.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_while_entries_restart_twice)
 {
     check_counts({.kind = restart_kind::planned, .rounds = 2, .page_time = 400ms});
     check_counts({.kind = restart_kind::killed, .rounds = 2, .page_time = 400ms});
 }
 
-// News of cells come late over a full link.
+// Guards against omitted jobs when messages about cells arrive late over saturated links.
 BOOST_AUTO_TEST_CASE(jobs_that_wait_are_counted_over_narrow_links)
 {
     check_counts({.kind = restart_kind::planned, .page_time = 100ms, .link_bytes_per_s = 0.25e6});
--- a/tests/test_flow_restarts_leases.cpp
+++ b/tests/test_flow_restarts_leases.cpp
@@ -26,8 +26,8 @@
 constexpr int tasks_all = jobs_count * tasks_each;
 constexpr duration step = 50ms;
 constexpr duration restart_gap = 400ms;
-constexpr duration recovery_limit =
-    9s; // one lease and a start, from the later of the worker loss and the last stop of an entry
+// Limit from the later of the worker loss and the last stop of an entry: one lease and a start.
+constexpr duration recovery_limit = 9s;
 constexpr duration recovery_timeout = 40s; // after the last entry restart
 constexpr int phases = 8;                  // offsets of the first restart at which each case runs
 constexpr duration phase_step = 130ms;
--- a/tests/test_flow_restarts_runs.cpp
+++ b/tests/test_flow_restarts_runs.cpp
@@ -1,5 +1,5 @@
-// What runs on workers while all entries restart, or stand still, in turn and faster than an owner reads its cell's
-// rows.
+// Tests that no task runs twice and that lasting tasks run again in time while all entries restart or pause in turn,
+// faster than an owner reads the rows of its cell.
 #include <boost/test/unit_test.hpp>
 #include <fmt/format.h>
 
@@ -27,13 +27,13 @@
 constexpr duration step = 100ms;
 constexpr duration restart_gap = 400ms;
 constexpr duration first_restart = 10s;
-constexpr duration played = 50s;
+constexpr duration test_duration = 50s;
 constexpr duration short_job_interval = 200ms;
 constexpr duration worker_trouble_interval = 700ms;
-constexpr duration away_most = 9s;   // of a lasting task, from its end on
-constexpr duration calm_before = 7s; // nothing was impaired for so long
+constexpr duration away_most = 9s;   // limit for a lasting task from the end of a run to its next run
+constexpr duration calm_before = 7s; // an absence counts as lost only if no fault was active for this long
 constexpr int lasting_jobs = 6;
-constexpr int lasting_tasks = 4; // of each
+constexpr int lasting_tasks = 4; // of each lasting job
 constexpr std::int64_t lasting_cpu = 4000;
 
 enum class restart_kind : std::uint8_t { killed, planned, frozen };
@@ -42,40 +42,41 @@
 struct restart_case {
     restart_kind kind = restart_kind::killed;
     worker_trouble trouble = worker_trouble::none;
-    duration page_time{0};    // of rows of jobs, over the entry's link
-    bool owners_only = false; // whoever owns a cell then, not each entry in turn
-    bool old_lists = false;   // every other entry hears late which workers there are
+    duration page_time{0};    // transfer time of a page of job rows over the link of an entry
+    bool owners_only = false; // restart current owners of cells instead of each entry in turn
+    bool old_lists = false;   // every second entry receives the worker list 3 s late
 };
 
 struct run_tally {
-    std::int64_t lost = 0;       // absences of a lasting task that lasted too long while things were calm
-    std::int64_t long_away = 0;  // the same, calm or not
-    std::int64_t never_back = 0; // lasting tasks that do not run at the end
+    std::int64_t lost = 0;       // absences longer than `away_most`, with no fault active for `calm_before`
+    std::int64_t long_away = 0;  // absences longer than `away_most`, with or without active faults
+    std::int64_t never_back = 0; // lasting tasks that do not run at the end of the test
     duration longest{0};
     std::string first_lost;
 };
 
-// A site with room to spare on which lasting tasks and many short ones run.
+// A site with spare capacity that runs lasting tasks and many short ones while entries and workers fail.
 class busy_site {
 public:
     busy_site(const restart_case& c, std::uint64_t seed)
         : case_(c), seed_(seed), random_(make_random(seed * 131)), world_(make_options(c, seed))
     {}
 
-    run_tally play()
+    // Runs the simulation for `test_duration` and returns the absences of lasting tasks.
+    run_tally run()
     {
         world_.run_for(3s);
         start_lasting_jobs();
-        begun_ = world_.now();
-        impaired_at_ = begun_;
-        while (world_.now() - begun_ < played) {
-            const duration t = world_.now() - begun_;
+        started_at_ = world_.now();
+        impaired_at_ = started_at_;
+        while (world_.now() - started_at_ < test_duration) {
+            const duration t = world_.now() - started_at_;
             restart(t);
-            bring_back();
-            trouble_workers(t);
+            restore_entries();
+            inject_worker_faults(t);
             submit_short(t);
             world_.run_for(step);
-            look(t);
+            update_tally(t);
         }
         for (const auto& [task, seen] : seen_) {
             tally_.never_back += world_.now() - seen.last > step ? 1 : 0;
@@ -96,8 +97,8 @@
 private:
     struct seen_task {
         instant last{};
-        bool counted = false; // as away too long
-        bool counted_lost = false;
+        bool counted = false;      // in `long_away`
+        bool counted_lost = false; // in `lost`
     };
 
     static flow_simulation::options make_options(const restart_case& c, std::uint64_t seed)
@@ -137,11 +138,11 @@
     {
         while (t >= first_restart + restart_gap * restarted_ && restarted_ < rounds * entries_count) {
             const int turn = restarted_++;
-            take_down(case_.owners_only ? pick_owner(turn) : turn % entries_count);
+            stop_entry(case_.owners_only ? pick_owner(turn) : turn % entries_count);
         }
     }
 
-    // One that is up, of a cell that goes by turns; else any entry.
+    // Returns a running owner of a cell, selected by `turn`, or entry `turn` modulo the entry count if there is none.
     int pick_owner(int turn)
     {
         std::vector<int> owners;
@@ -156,7 +157,8 @@
         return owners.empty() ? turn % entries_count : owners.at(static_cast<std::size_t>(turn) % owners.size());
     }
 
-    void take_down(int entry)
+    // Kills, stops or pauses the entry, unless it is already down.
+    void stop_entry(int entry)
     {
         if (away_.count(entry) != 0 || world_.entry(entry) == nullptr) {
             return;
@@ -179,7 +181,8 @@
         }
     }
 
-    void bring_back()
+    // Starts or resumes the entries whose downtime is over.
+    void restore_entries()
     {
         const bool unplanned = case_.kind != restart_kind::planned;
         impaired_at_ = unplanned && !away_.empty() ? world_.now() : impaired_at_;
@@ -204,8 +207,8 @@
         }
     }
 
-    // While entries restart: workers leave or stay silent, lasting tasks fail.
-    void trouble_workers(duration t)
+    // Injects worker faults while entries restart: replaces, unlists or disconnects workers and fails lasting tasks.
+    void inject_worker_faults(duration t)
     {
         for (auto at = silent_.begin(); at != silent_.end();) {
             impaired_at_ = world_.now();
@@ -249,7 +252,7 @@
 
     void submit_short(duration t)
     {
-        if (t < short_job_interval * submitted_ || t > played - 10s) {
+        if (t < short_job_interval * submitted_ || t > test_duration - 10s) {
             return;
         }
         const int entry = static_cast<int>(submitted_ % entries_count);
@@ -259,6 +262,7 @@
         }
     }
 
+    // Returns whether a worker runs the task under a valid lease.
     bool runs(const flow_task_id& task)
     {
         for (int i = 0; i < world_.worker_count(); ++i) {
@@ -270,7 +274,8 @@
         return false;
     }
 
-    void look(duration t)
+    // Updates the tally with the lasting tasks that do not run now.
+    void update_tally(duration t)
     {
         const instant now = world_.now();
         for (auto& [task, seen] : seen_) {
@@ -300,20 +305,20 @@
     std::uint64_t seed_;
     random_source random_;
     flow_simulation world_;
-    instant begun_{};
+    instant started_at_{};
     instant impaired_at_{};
     int restarted_ = 0;
-    std::map<int, instant> away_;     // entries, and when they come back
-    std::map<int, instant> silent_;   // workers, and until when
-    std::map<int, instant> unlisted_; // the same
+    std::map<int, instant> away_;     // stopped or paused entries, with the time of their return
+    std::map<int, instant> silent_;   // unreachable workers, with the end of the fault
+    std::map<int, instant> unlisted_; // workers missing from the list, with the end of the fault
     duration next_trouble_{0};
     std::int64_t submitted_ = 0;
-    std::map<flow_task_id, seen_task> seen_; // the lasting ones
+    std::map<flow_task_id, seen_task> seen_; // lasting tasks
     run_tally tally_;
 };
 
-// More seeds by hand: test_flow_restarts_runs --run_test=NAME -- FIRST LAST
-std::pair<std::uint64_t, std::uint64_t> seeds_played()
+// Returns the first and last seed to run. To run other seeds: test_flow_restarts_runs --run_test=NAME -- FIRST LAST
+std::pair<std::uint64_t, std::uint64_t> seed_range()
 {
     const auto& suite = boost::unit_test::framework::master_test_suite();
     if (suite.argc < 3) {
@@ -326,7 +331,7 @@
 {
     BOOST_TEST_CONTEXT("seed " << seed)
     {
-        const run_tally tally = busy_site(c, seed).play();
+        const run_tally tally = busy_site(c, seed).run();
         BOOST_TEST(tally.lost == 0, tally.lost << " lost, first " << tally.first_lost);
         BOOST_TEST(tally.never_back == 0, tally.never_back << " lasting tasks do not run at the end");
     }
@@ -334,7 +339,7 @@
 
 void check_runs(const restart_case& c)
 {
-    const auto [first, last] = seeds_played();
+    const auto [first, last] = seed_range();
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         check_seed(c, seed);
     }
@@ -342,43 +347,44 @@
 
 } // namespace
 
-// A follower starts what its predecessor's rows do not tell, or waits anew with each owner for what they do.
+// Guards against a new owner starting a running task again because its predecessor's rows do not show the run, and
+// against each new owner waiting another full lease for runs that the rows show.
 BOOST_AUTO_TEST_CASE(what_runs_is_known_while_entries_are_killed_in_turn)
 {
     check_runs({.kind = restart_kind::killed, .trouble = worker_trouble::leave});
 }
 
-// The same with owners that hand over.
+// Guards against duplicate runs and repeated lease waits when owners stop by plan and hand over their cells.
 BOOST_AUTO_TEST_CASE(what_runs_is_known_while_entries_are_stopped_in_turn)
 {
     check_runs({.kind = restart_kind::planned, .trouble = worker_trouble::leave});
 }
 
-// An owner that goes on starts anew what its follower has seen end.
+// Guards against a paused owner that resumes restarting tasks whose end the next owner has already recorded.
 BOOST_AUTO_TEST_CASE(what_runs_is_known_while_entries_stand_still_in_turn)
 {
     check_runs({.kind = restart_kind::frozen, .trouble = worker_trouble::leave});
 }
 
-// Each owner is killed before it has read the rows, so that none starts what has ended.
+// Guards against ended lasting tasks never starting again when each owner is killed before it has read the rows.
 BOOST_AUTO_TEST_CASE(lasting_tasks_run_again_while_owners_are_killed_before_they_have_read)
 {
     check_runs({.kind = restart_kind::killed, .trouble = worker_trouble::leave, .page_time = 400ms});
 }
 
-// The same with owners that hand over what they have not read.
+// Guards against ended lasting tasks never starting again when owners are stopped before they have read the rows.
 BOOST_AUTO_TEST_CASE(lasting_tasks_run_again_while_owners_are_stopped_before_they_have_read)
 {
     check_runs({.kind = restart_kind::planned, .trouble = worker_trouble::leave, .page_time = 400ms});
 }
 
-// The same with owners that stand still and go on while they read.
+// Guards against ended lasting tasks never starting again when owners pause and resume while they read the rows.
 BOOST_AUTO_TEST_CASE(lasting_tasks_run_again_while_owners_stand_still_before_they_have_read)
 {
     check_runs({.kind = restart_kind::frozen, .trouble = worker_trouble::leave, .page_time = 400ms});
 }
 
-// Pages that take a quarter of that.
+// Guards against the same delays when a page of rows takes 100 ms instead of 400 ms.
 BOOST_AUTO_TEST_CASE(lasting_tasks_run_again_while_entries_restart_and_rows_take_a_while)
 {
     for (const restart_kind kind : {restart_kind::killed, restart_kind::planned, restart_kind::frozen}) {
@@ -386,25 +392,26 @@
     }
 }
 
-// A worker that says nothing is taken for idle by an owner that has not heard of it, or waited for by each one anew.
+// Guards against a new owner treating an unreachable worker as idle, and against each new owner waiting another full
+// lease for it.
 BOOST_AUTO_TEST_CASE(silent_workers_are_waited_for_once_while_owners_are_killed)
 {
     check_runs({.kind = restart_kind::killed, .trouble = worker_trouble::mixed, .page_time = 400ms});
 }
 
-// The same with owners that hand over.
+// Guards against the same faults with unreachable workers when owners stop by plan and hand over their cells.
 BOOST_AUTO_TEST_CASE(silent_workers_are_waited_for_once_while_owners_are_stopped)
 {
     check_runs({.kind = restart_kind::planned, .trouble = worker_trouble::mixed, .page_time = 400ms});
 }
 
-// The same with owners that go on.
+// Guards against the same faults with unreachable workers when owners pause and resume.
 BOOST_AUTO_TEST_CASE(silent_workers_are_waited_for_once_while_owners_stand_still)
 {
     check_runs({.kind = restart_kind::frozen, .trouble = worker_trouble::mixed, .page_time = 400ms});
 }
 
-// The owner of each moment stands still, for longer than it takes to follow it, and goes on beside its follower.
+// Guards against duplicate runs when the current owner pauses until another entry takes over, then resumes beside it.
 BOOST_AUTO_TEST_CASE(owners_that_stand_still_and_go_on_start_nothing_twice)
 {
     for (const duration page_time : {duration(0), duration(100ms), duration(400ms)}) {
@@ -415,7 +422,8 @@
     }
 }
 
-// What an owner that was followed asks the table for, again and again, keeps it from reading when it follows in turn.
+// Guards against a replaced owner repeating its table requests, which kept it from reading the rows when it became
+// the owner again.
 BOOST_AUTO_TEST_CASE(an_owner_that_leaves_ends_reads_its_rows_when_it_follows_again)
 {
     for (const std::uint64_t seed : {6, 31, 55, 73}) {
@@ -425,7 +433,7 @@
     }
 }
 
-// The owner of each moment is killed: none lives long enough to tell anything.
+// Guards against duplicate runs when each owner is killed before it has sent its state to other entries.
 BOOST_AUTO_TEST_CASE(owners_that_are_killed_as_soon_as_they_follow_start_nothing_twice)
 {
     for (const duration page_time : {duration(0), duration(100ms), duration(400ms)}) {
@@ -436,7 +444,7 @@
     }
 }
 
-// The owner of each moment hands over what it has not learned itself.
+// Guards against duplicate runs when each owner hands over its cell before it has learned the state of the cell.
 BOOST_AUTO_TEST_CASE(owners_that_are_stopped_as_soon_as_they_follow_start_nothing_twice)
 {
     for (const duration page_time : {duration(0), duration(100ms), duration(400ms)}) {
@@ -447,7 +455,8 @@
     }
 }
 
-// The same where no worker is silent, so that nothing but handovers is under way.
+// Guards against ended lasting tasks never starting again when owners are stopped as soon as they take over. Workers
+// are replaced, but none becomes unreachable.
 BOOST_AUTO_TEST_CASE(lasting_tasks_run_again_while_owners_are_stopped_as_soon_as_they_follow)
 {
     for (const duration page_time : {duration(0), duration(50ms), duration(100ms), duration(400ms)}) {
@@ -458,7 +467,7 @@
     }
 }
 
-// A list of workers that is short or old is taken for all workers that there are.
+// Guards against treating workers that are missing from an incomplete or outdated list as idle.
 BOOST_AUTO_TEST_CASE(workers_that_the_list_does_not_name_are_not_taken_for_idle)
 {
     for (const restart_kind kind : {restart_kind::killed, restart_kind::planned, restart_kind::frozen}) {
@@ -472,7 +481,7 @@
     }
 }
 
-// Owners that read quickly, and silent workers: what is left without slow rows.
+// Guards against duplicate runs with unreachable workers when reading the rows takes no time.
 BOOST_AUTO_TEST_CASE(silent_workers_start_nothing_twice_when_rows_are_read_at_once)
 {
     for (const restart_kind kind : {restart_kind::killed, restart_kind::planned, restart_kind::frozen}) {
@@ -480,8 +489,8 @@
     }
 }
 
-// An owner that hears from half of the entries takes its own cut for an outage of the table, and gives leases for
-// longer than its follower waits.
+// Guards against an owner that reaches only half of the entries mistaking its own disconnection for a table outage,
+// and granting leases that last longer than the next owner waits.
 BOOST_AUTO_TEST_CASE(
     an_owner_that_is_cut_off_with_half_of_the_entries_gives_no_lease_that_its_follower_does_not_wait_for)
 {
@@ -495,7 +504,9 @@
             BOOST_REQUIRE(w.run_until([&] { return w.count_running_tasks(job) == 3; }, 10s));
             w.run_for(3s);
             const int owner = w.entry(0)->cells().at(cell_id("b"))->owns() ? 0 : 1;
-            int busy = w.worker_count() - 1; // another one answers the follower's first question
+            int busy =
+                w.worker_count() -
+                1; // start from the last worker, so that a different worker answers the first query of the next owner
             while (w.worker(busy).data_centre != data_centre_id("b") || w.worker(busy).running.empty()) {
                 BOOST_REQUIRE(--busy >= 0);
             }
